--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -193,7 +193,7 @@
     let sharing = Rc::clone(sharing);
     let on_change = Rc::new(move |change: MemberChange| {
         let member = &change.member;
-        if let Some(sharing) = sharing.get().filter(|_| !member.state.answers()) {
+        if let Some(sharing) = sharing.get().filter(|_| !member.state.is_responsive()) {
             sharing.gone(&member.instance);
         }
     });
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -93,7 +93,7 @@
 
 fn peers_status(parts: &Parts) -> PeersStatus {
     let members = parts.peers.members();
-    let alive = members.iter().filter(|member| member.state.answers());
+    let alive = members.iter().filter(|member| member.state.is_responsive());
     let counters = parts.peers.counters();
     PeersStatus {
         members: members.len(),
--- a/crates/dissemination/src/telling.rs
+++ b/crates/dissemination/src/batch.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Short name of one life of a daemon.
-pub type Life = u64;
+pub type IncarnationId = u64;
 
 /// Short name of the life of a daemon; never 0.
 #[must_use]
-pub fn life_of(daemon: u64, incarnation: u64) -> Life {
+pub fn incarnation_id(daemon: u64, incarnation: u64) -> IncarnationId {
     (daemon ^ incarnation) | 1
 }
 
@@ -18,7 +18,7 @@
 
 /// Who tells.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Teller {
+pub struct Origin {
     /// Short name of the daemon.
     pub daemon: u64,
     /// Its life; a later one is higher.
@@ -29,21 +29,23 @@
     pub zone: String,
 }
 
-impl Teller {
+impl Origin {
     /// Short name of this life.
     #[must_use]
-    pub fn life(&self) -> Life {
-        life_of(self.daemon, self.incarnation)
+    pub fn incarnation_id(&self) -> IncarnationId {
+        incarnation_id(self.daemon, self.incarnation)
     }
 }
 
 /// News of one daemon with what is needed to relay them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Telling<T> {
+pub struct Batch<T> {
     /// Who tells.
-    pub teller: Teller,
+    #[serde(rename = "teller")]
+    pub origin: Origin,
     /// Its place among the teller's.
     pub sequence: Sequence,
     /// What is told.
-    pub news: Vec<T>,
+    #[serde(rename = "news")]
+    pub updates: Vec<T>,
 }
--- a/crates/dissemination/src/lib.rs
+++ b/crates/dissemination/src/lib.rs
@@ -6,19 +6,19 @@
 //! and pass it on in one datagram, to the relays of the other zones and to the
 //! daemons of their own.
 //!
-//! The relays of a zone are ranked. The first passes on after [`WINDOW`]. The others
+//! The relays of a zone are ranked. The first passes on after [`COALESCING_WINDOW`]. The others
 //! hold the same news for longer, and drop what they see passed on; so they take over
 //! from one that is gone without anybody having to notice.
 //!
-//! Nothing in here does input or output. [`Sequences`] tells what is new, [`Paths`]
-//! whom to tell, [`Held`] what to pass on and when.
+//! Nothing in here does input or output. [`LatestSequences`] tells what is new, [`Topology`]
+//! whom to tell, [`PendingBatches`] what to pass on and when.
 
-mod held;
-mod paths;
+mod batch;
+mod pending;
 mod sequences;
-mod telling;
+mod topology;
 
-pub use held::{Held, STANDBY_DELAY, Scope, WINDOW};
-pub use paths::{Neighbour, Paths, RELAY_SILENCE, RELAYS, Slice};
-pub use sequences::Sequences;
-pub use telling::{Life, Sequence, Teller, Telling, life_of};
+pub use batch::{Batch, IncarnationId, Origin, Sequence, incarnation_id};
+pub use pending::{COALESCING_WINDOW, PendingBatches, STANDBY_DELAY, Scope};
+pub use sequences::LatestSequences;
+pub use topology::{Peer, RELAY_TIMEOUT, RELAYS_PER_ZONE, Shard, Topology};
--- a/crates/dissemination/src/held.rs
+++ b/crates/dissemination/src/pending.rs
@@ -5,14 +5,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::telling::{Life, Sequence, Telling};
+use crate::batch::{Batch, IncarnationId, Sequence};
 
 /// Time for which the first relay of a zone collects news.
 ///
 /// It bounds the datagrams that a daemon hears to fifty a second, whatever the
 /// fleet's load, and is short against the tens of milliseconds that an engine takes
 /// to read a prompt: what is placed meanwhile is rarely at the same engine.
-pub const WINDOW: Duration = Duration::from_millis(20);
+pub const COALESCING_WINDOW: Duration = Duration::from_millis(20);
 
 /// Time by which each further relay waits longer than the one before it.
 ///
@@ -31,18 +31,18 @@
 
 #[derive(Debug)]
 struct Entry<T> {
-    telling: Telling<T>,
+    telling: Batch<T>,
     scope: Scope,
     due: Instant,
 }
 
 /// Tellings that a relay has not passed on yet.
 #[derive(Debug)]
-pub struct Held<T> {
+pub struct PendingBatches<T> {
     entries: Vec<Entry<T>>,
 }
 
-impl<T> Default for Held<T> {
+impl<T> Default for PendingBatches<T> {
     fn default() -> Self {
         Self {
             entries: Vec::new(),
@@ -50,11 +50,11 @@
     }
 }
 
-impl<T> Held<T> {
+impl<T> PendingBatches<T> {
     /// Holds a telling as the relay of `rank`, the first being 0.
-    pub fn hold(&mut self, telling: Telling<T>, scope: Scope, rank: usize, now: Instant) {
+    pub fn add(&mut self, telling: Batch<T>, scope: Scope, rank: usize, now: Instant) {
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        let due = now + WINDOW + STANDBY_DELAY.saturating_mul(rank);
+        let due = now + COALESCING_WINDOW + STANDBY_DELAY.saturating_mul(rank);
         self.entries.push(Entry {
             telling,
             scope,
@@ -63,14 +63,17 @@
     }
 
     /// Drops what another relay of the zone has passed on.
-    pub fn passed_on(&mut self, by_another: impl IntoIterator<Item = (Life, Sequence)>) {
+    pub fn remove_forwarded(
+        &mut self,
+        by_another: impl IntoIterator<Item = (IncarnationId, Sequence)>,
+    ) {
         if self.entries.is_empty() {
             return;
         }
-        let known: HashSet<(Life, Sequence)> = by_another.into_iter().collect();
+        let known: HashSet<(IncarnationId, Sequence)> = by_another.into_iter().collect();
         self.entries.retain(|entry| {
             let telling = &entry.telling;
-            !known.contains(&(telling.teller.life(), telling.sequence))
+            !known.contains(&(telling.origin.incarnation_id(), telling.sequence))
         });
     }
 
@@ -84,11 +87,11 @@
     ///
     /// One that is due takes those along that came after it, as long as they wait for
     /// the same time: they need no datagram of their own then.
-    pub fn take_due(&mut self, now: Instant) -> Vec<(Scope, Telling<T>)> {
+    pub fn take_due(&mut self, now: Instant) -> Vec<(Scope, Batch<T>)> {
         if self.next_due().is_none_or(|due| due > now) {
             return Vec::new();
         }
-        let until = now + WINDOW;
+        let until = now + COALESCING_WINDOW;
         let (due, waiting) = std::mem::take(&mut self.entries)
             .into_iter()
             .partition(|entry| entry.due <= until);
--- a/crates/dissemination/src/sequences.rs
+++ b/crates/dissemination/src/sequences.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::telling::{Life, Sequence};
+use crate::batch::{IncarnationId, Sequence};
 
 /// The latest telling of each daemon.
 ///
@@ -10,11 +10,11 @@
 /// overtaken by its beginning. What is lost by that, as by any lost datagram, is put
 /// right by the teller's next list of all that it does.
 #[derive(Debug, Default)]
-pub struct Sequences(HashMap<Life, Sequence>);
+pub struct LatestSequences(HashMap<IncarnationId, Sequence>);
 
-impl Sequences {
+impl LatestSequences {
     /// Notes a telling; whether it is later than all before it.
-    pub fn is_new(&mut self, life: Life, sequence: Sequence) -> bool {
+    pub fn advance(&mut self, life: IncarnationId, sequence: Sequence) -> bool {
         let latest = self.0.entry(life).or_default();
         let is_new = sequence > *latest;
         *latest = sequence.max(*latest);
@@ -22,7 +22,7 @@
     }
 
     /// Forgets a life that has ended.
-    pub fn forget(&mut self, life: Life) {
+    pub fn forget(&mut self, life: IncarnationId) {
         self.0.remove(&life);
     }
 }
--- a/crates/dissemination/tests/fleet.rs
+++ b/crates/dissemination/tests/fleet.rs
@@ -10,7 +10,8 @@
 use std::time::{Duration, Instant};
 
 use mangofront_dissemination::{
-    Held, Neighbour, Paths, RELAYS, STANDBY_DELAY, Scope, Sequences, Teller, Telling, WINDOW,
+    Batch, COALESCING_WINDOW, LatestSequences, Origin, Peer, PendingBatches, RELAYS_PER_ZONE,
+    STANDBY_DELAY, Scope, Topology,
 };
 
 const DELAY: Duration = Duration::from_millis(1);
@@ -18,15 +19,15 @@
 const STEP: Duration = Duration::from_millis(1);
 
 enum Message {
-    PassOn(Scope, Vec<Telling<u32>>),
-    Relayed(Vec<Telling<u32>>),
+    PassOn(Scope, Vec<Batch<u32>>),
+    Relayed(Vec<Batch<u32>>),
 }
 
 struct Daemon {
     zone: String,
-    paths: Paths,
-    sequences: Sequences,
-    held: Held<u32>,
+    paths: Topology,
+    sequences: LatestSequences,
+    held: PendingBatches<u32>,
     next: u64,
     heard: HashSet<u32>,
     datagrams: usize,
@@ -59,26 +60,26 @@
         let zone = |index: usize| format!("zone-{}", index % zones);
         let relays = |slice: usize| {
             let mut relays: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
-            let first = slice * zones * RELAYS;
-            for index in first..first + zones * RELAYS {
+            let first = slice * zones * RELAYS_PER_ZONE;
+            for index in first..first + zones * RELAYS_PER_ZONE {
                 let index = index % count;
                 relays.entry(zone(index)).or_default().push(address(index));
             }
             relays
         };
         let daemons = (0..count).map(|own| {
-            let neighbours: Vec<Neighbour> = (0..count)
+            let neighbours: Vec<Peer> = (0..count)
                 .filter(|other| *other != own)
-                .map(|other| Neighbour {
+                .map(|other| Peer {
                     address: address(other),
                     zone: zone(other),
                 })
                 .collect();
             Daemon {
                 zone: zone(own),
-                paths: Paths::new(address(own), &zone(own), &neighbours, relays),
-                sequences: Sequences::default(),
-                held: Held::default(),
+                paths: Topology::new(address(own), &zone(own), &neighbours, relays),
+                sequences: LatestSequences::default(),
+                held: PendingBatches::default(),
                 next: 1,
                 heard: HashSet::new(),
                 datagrams: 0,
@@ -104,31 +105,31 @@
         self.told_at.push(self.now);
         let now = self.now;
         let daemon = &mut self.daemons[own];
-        let telling = Telling {
-            teller: Teller {
+        let telling = Batch {
+            origin: Origin {
                 daemon: own as u64 * 2 + 2,
                 incarnation: 0,
                 address: address(own).ip(),
                 zone: daemon.zone.clone(),
             },
             sequence: daemon.next,
-            news: vec![piece],
+            updates: vec![piece],
         };
         daemon.next += 1;
         daemon.heard.insert(piece);
         let paths = daemon.paths.clone();
-        if !paths.is_relayed(RELAYED_FROM) {
-            for other in paths.others {
+        if !paths.uses_relays(RELAYED_FROM) {
+            for other in paths.peers {
                 self.send(other, Message::Relayed(vec![telling.clone()]));
             }
             return;
         }
-        let slice = paths.slice(paths.slice_of(telling.teller.daemon));
+        let slice = paths.shard(paths.shard_of(telling.origin.daemon));
         let slice = slice.expect("there are other daemons").clone();
         if let Some(rank) = slice.rank {
-            let life = telling.teller.life();
-            daemon.sequences.is_new(life, telling.sequence);
-            daemon.held.hold(telling.clone(), Scope::Fleet, rank, now);
+            let life = telling.origin.incarnation_id();
+            daemon.sequences.advance(life, telling.sequence);
+            daemon.held.add(telling.clone(), Scope::Fleet, rank, now);
         }
         for relay in slice.relays {
             self.send(relay, Message::PassOn(Scope::Fleet, vec![telling.clone()]));
@@ -145,26 +146,28 @@
         let (scope, tellings) = match message {
             Message::PassOn(scope, tellings) => (Some(scope), tellings),
             Message::Relayed(tellings) => {
-                let known = tellings.iter().map(|one| (one.teller.life(), one.sequence));
-                daemon.held.passed_on(known);
+                let known = tellings
+                    .iter()
+                    .map(|one| (one.origin.incarnation_id(), one.sequence));
+                daemon.held.remove_forwarded(known);
                 (None, tellings)
             }
         };
         for telling in tellings {
             if !daemon
                 .sequences
-                .is_new(telling.teller.life(), telling.sequence)
+                .advance(telling.origin.incarnation_id(), telling.sequence)
             {
                 continue;
             }
-            for piece in &telling.news {
+            for piece in &telling.updates {
                 daemon.heard.insert(*piece);
                 let age = now - self.told_at[*piece as usize];
                 daemon.oldest = daemon.oldest.max(age);
             }
             if let Some(scope) = scope {
-                let rank = daemon.paths.rank_or_last(telling.teller.daemon);
-                daemon.held.hold(telling, scope, rank, now);
+                let rank = daemon.paths.rank_or_last(telling.origin.daemon);
+                daemon.held.add(telling, scope, rank, now);
             }
         }
     }
@@ -179,20 +182,20 @@
             return;
         }
         let paths = daemon.paths.clone();
-        let mut far: BTreeMap<usize, Vec<Telling<u32>>> = BTreeMap::new();
+        let mut far: BTreeMap<usize, Vec<Batch<u32>>> = BTreeMap::new();
         for (scope, telling) in &due {
             if *scope == Scope::Fleet {
-                let slice = paths.slice_of(telling.teller.daemon);
+                let slice = paths.shard_of(telling.origin.daemon);
                 far.entry(slice).or_default().push(telling.clone());
             }
         }
-        let all: Vec<Telling<u32>> = due.into_iter().map(|(_, telling)| telling).collect();
-        for to in paths.zone.clone() {
+        let all: Vec<Batch<u32>> = due.into_iter().map(|(_, telling)| telling).collect();
+        for to in paths.zone_peers.clone() {
             self.send(to, Message::Relayed(all.clone()));
         }
         for (slice, far) in far {
-            let slice = paths.slice(slice).expect("a slice of these paths").clone();
-            for to in slice.far_relays {
+            let slice = paths.shard(slice).expect("a slice of these paths").clone();
+            for to in slice.remote_relays {
                 self.send(to, Message::PassOn(Scope::Zone, far.clone()));
             }
         }
@@ -268,7 +271,7 @@
         assert!(fleet.least_heard() + under_way > told);
         // A relay hears of each zone in each window, and of its own daemons besides;
         // everyone telling everyone would be a datagram for each telling.
-        let windows = 1_000 / WINDOW.as_millis() as usize;
+        let windows = 1_000 / COALESCING_WINDOW.as_millis() as usize;
         let bound = windows * (zones + slices) + per_zone * 5 + windows * 2;
         let most = fleet.most_datagrams();
         assert!(most <= bound, "{most} of {bound}");
@@ -276,7 +279,7 @@
         datagrams.sort_unstable();
         let usual = datagrams[datagrams.len() / 2];
         assert!(usual <= (windows + 2) * slices, "{usual}");
-        let limit = 2 * WINDOW + 4 * DELAY;
+        let limit = 2 * COALESCING_WINDOW + 4 * DELAY;
         assert!(fleet.oldest() <= limit, "{:?}", fleet.oldest());
     }
 }
@@ -292,7 +295,7 @@
     let before = fleet.told_at.len();
     fleet.run(Duration::from_secs(1));
     let told = fleet.told_at.len();
-    fleet.run(2 * (WINDOW + 2 * STANDBY_DELAY));
+    fleet.run(2 * (COALESCING_WINDOW + 2 * STANDBY_DELAY));
     let later = fleet.told_at.len();
     // Those under way when the relays went may be lost.
     let lost = told.min(later) - told;
@@ -301,18 +304,18 @@
         let missing = (before..told).filter(|piece| !daemon.heard.contains(&(*piece as u32)));
         assert_eq!(missing.count(), 0);
     }
-    let limit = 2 * (WINDOW + 2 * STANDBY_DELAY) + 4 * DELAY;
+    let limit = 2 * (COALESCING_WINDOW + 2 * STANDBY_DELAY) + 4 * DELAY;
     assert!(fleet.oldest() <= limit, "{:?}", fleet.oldest());
 }
 
 #[test]
 fn a_telling_after_a_later_one_is_dropped() {
-    let mut sequences = Sequences::default();
-    assert!(sequences.is_new(7, 1));
-    assert!(sequences.is_new(7, 3));
-    assert!(!sequences.is_new(7, 2));
-    assert!(!sequences.is_new(7, 3));
-    assert!(sequences.is_new(9, 2));
+    let mut sequences = LatestSequences::default();
+    assert!(sequences.advance(7, 1));
+    assert!(sequences.advance(7, 3));
+    assert!(!sequences.advance(7, 2));
+    assert!(!sequences.advance(7, 3));
+    assert!(sequences.advance(9, 2));
     sequences.forget(7);
-    assert!(sequences.is_new(7, 1));
+    assert!(sequences.advance(7, 1));
 }
--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mangofront_dissemination::Teller;
+use mangofront_dissemination::Origin;
 use mangofront_routes::RouteTable;
 use mangofront_settings::ids::InstanceId;
 
@@ -131,7 +131,7 @@
     ///
     /// They say nothing of how current that is: a datagram may have lain unread
     /// while this daemon stood still.
-    pub(crate) fn take_relayed(&self, relayed: Relayed, from: &Teller) {
+    pub(crate) fn take_relayed(&self, relayed: Relayed, from: &Origin) {
         self.note_heard(relayed.answered);
         let (after, up_to) = (relayed.upstreams.after, relayed.upstreams.up_to);
         let provenance = Provenance::relayed(from.address, up_to);
--- a/crates/gateway/src/datagram.rs
+++ b/crates/gateway/src/datagram.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use mangofront_dissemination::{Scope, Sequence, Teller, Telling};
+use mangofront_dissemination::{Batch, Origin, Scope, Sequence};
 use mangofront_engines::News;
 use mangofront_routes::{ConfigurationVersion, Upstream, UpstreamId};
 use serde::{Deserialize, Serialize};
@@ -28,7 +28,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Datagram {
     /// Who sent it.
-    pub(crate) sender: Teller,
+    pub(crate) sender: Origin,
     pub(crate) message: Message,
 }
 
@@ -38,9 +38,9 @@
     /// What became of requests and upstreams, told by the sender itself.
     News(Sequence, Vec<News>),
     /// The same of any daemon, to be passed on by the receiver.
-    PassOn(Scope, Vec<Telling<News>>),
+    PassOn(Scope, Vec<Batch<News>>),
     /// The same, passed on by a relay of the receiver's zone.
-    PassedOn(Vec<Telling<News>>),
+    PassedOn(Vec<Batch<News>>),
     /// All requests of the sender that have not ended.
     Introduction(Vec<News>),
     /// Asks for [`Message::Introduction`].
@@ -227,7 +227,7 @@
 
 impl Datagram {
     /// The bytes of a datagram.
-    pub(crate) fn write(sender: Teller, message: Message) -> Vec<u8> {
+    pub(crate) fn write(sender: Origin, message: Message) -> Vec<u8> {
         let datagram = Self { sender, message };
         // Numbers, names and lists only, so writing can't fail.
         postcard::to_extend(&datagram, vec![VERSION]).unwrap_or_default()
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -115,7 +115,7 @@
         }
         metrics.departure_late(self.0.parts.published.most_late());
         let members = self.0.parts.peers.members();
-        let live = members.iter().filter(|member| member.state.answers());
+        let live = members.iter().filter(|member| member.state.is_responsive());
         let live = live.count() as u64;
         metrics.quarantined(self.0.parts.upstreams.quarantined().len() as u64);
         metrics.peers(PeerState::Live, live);
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -87,7 +87,7 @@
     let rank = |instance: &str| xxh3_64_with_seed(instance.as_bytes(), request as u64);
     let own = rank(&gateway.options().instance);
     let members = gateway.parts().peers.members();
-    let mut others = members.iter().filter(|member| member.state.answers());
+    let mut others = members.iter().filter(|member| member.state.is_responsive());
     others.all(|member| rank(&member.instance) <= own)
 }
 
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -24,7 +24,8 @@
 use compio::net::UdpSocket;
 use futures_channel::mpsc::UnboundedSender;
 use mangofront_dissemination::{
-    Held, Life, Neighbour, Paths, RELAYS, Sequence, Sequences, Teller, Telling, WINDOW,
+    Batch, COALESCING_WINDOW, IncarnationId, LatestSequences, Origin, Peer, PendingBatches,
+    RELAYS_PER_ZONE, Sequence, Topology,
 };
 use mangofront_engines::{News, Upstreams};
 use mangofront_peers::{Member, Peers};
@@ -100,10 +101,10 @@
     asked: RefCell<HashMap<Nonce, UnboundedSender<Answer>>>,
     next_nonce: Cell<Nonce>,
     next_sequence: Cell<Sequence>,
-    sequences: RefCell<Sequences>,
-    paths: RefCell<Option<(Instant, Rc<Paths>)>>,
+    sequences: RefCell<LatestSequences>,
+    paths: RefCell<Option<(Instant, Rc<Topology>)>>,
     /// What this daemon has to pass on.
-    held: RefCell<Held<News>>,
+    held: RefCell<PendingBatches<News>>,
     /// Whether a task waits to pass on what is held.
     is_passing_on: Cell<bool>,
     /// When a relay of the zone last passed something on to this daemon.
@@ -161,15 +162,15 @@
     }
 
     /// Whom to tell, as of a moment ago.
-    fn paths(&self) -> Rc<Paths> {
+    fn paths(&self) -> Rc<Topology> {
         let mut paths = self.paths.borrow_mut();
         match paths.as_ref() {
             Some((at, paths)) if at.elapsed() < PATHS_AGE => Rc::clone(paths),
             _ => {
                 let looked_up = Rc::new(self.look_up_paths());
-                let is_relayed = looked_up.is_relayed(self.relay_from_daemons);
+                let is_relayed = looked_up.uses_relays(self.relay_from_daemons);
                 self.upstreams.set_news_delay(match is_relayed {
-                    true => TELLING_DELAY + WINDOW,
+                    true => TELLING_DELAY + COALESCING_WINDOW,
                     false => TELLING_DELAY,
                 });
                 *paths = Some((Instant::now(), Rc::clone(&looked_up)));
@@ -178,12 +179,12 @@
         }
     }
 
-    fn look_up_paths(&self) -> Paths {
+    fn look_up_paths(&self) -> Topology {
         let members = self.peers.members().into_iter();
         let own = self.peers.address();
-        let neighbours: Vec<Neighbour> = members
-            .filter(|member| member.state.answers() && member.address != own)
-            .map(|member| Neighbour {
+        let neighbours: Vec<Peer> = members
+            .filter(|member| member.state.is_responsive() && member.address != own)
+            .map(|member| Peer {
                 address: self.news_address(&member),
                 zone: member.availability_zone,
             })
@@ -194,12 +195,15 @@
         };
         let relays = |slice: usize| {
             let duty = format!("{RELAY_DUTY}-{slice}");
-            let relays = self.peers.delegates_by_zone(&duty, RELAYS).into_iter();
+            let relays = self
+                .peers
+                .delegates_by_capacity(&duty, RELAYS_PER_ZONE)
+                .into_iter();
             relays
                 .map(|(zone, members)| (zone, addresses(members)))
                 .collect()
         };
-        Paths::new(self.own, &self.zone, &neighbours, relays)
+        Topology::new(self.own, &self.zone, &neighbours, relays)
     }
 
     /// Where a member listens for news.
@@ -216,7 +220,7 @@
 
     /// Daemons of the own zone, this one included.
     pub(crate) fn zone_daemons(&self) -> usize {
-        self.paths().zone.len() + 1
+        self.paths().zone_peers.len() + 1
     }
 
     /// A number that differs each time and between daemons.
@@ -273,17 +277,17 @@
         }
         match message {
             Message::News(sequence, news) => {
-                let telling = Telling {
-                    teller: sender,
+                let telling = Batch {
+                    origin: sender,
                     sequence,
-                    news,
+                    updates: news,
                 };
                 self.take_telling(&telling).await;
             }
             Message::PassOn(scope, tellings) => {
                 let paths = self.paths();
                 for telling in tellings {
-                    let rank = paths.rank_or_last(telling.teller.daemon);
+                    let rank = paths.rank_or_last(telling.origin.daemon);
                     if self.take_telling(&telling).await {
                         self.hold(telling, scope, rank);
                     }
@@ -292,13 +296,16 @@
             Message::PassedOn(tellings) => {
                 self.relay_heard.set(Some(Instant::now()));
                 let names = tellings.iter();
-                let names = names.map(|telling| (telling.teller.life(), telling.sequence));
-                self.held.borrow_mut().passed_on(names);
+                let names =
+                    names.map(|telling| (telling.origin.incarnation_id(), telling.sequence));
+                self.held.borrow_mut().remove_forwarded(names);
                 for telling in &tellings {
                     self.take_telling(telling).await;
                 }
             }
-            Message::Introduction(news) => self.take_news(sender.life(), news, from).await,
+            Message::Introduction(news) => {
+                self.take_news(sender.incarnation_id(), news, from).await
+            }
             Message::Introduce => self.introduce(from).await,
             Message::Ask(nonce, after) => {
                 if let Some(known) = self.published.confirmation() {
@@ -321,7 +328,7 @@
         }
     }
 
-    async fn take_news(&self, life: Life, news: Vec<News>, from: SocketAddr) {
+    async fn take_news(&self, life: IncarnationId, news: Vec<News>, from: SocketAddr) {
         let mut has_unknown = false;
         for one in news {
             has_unknown |= self.upstreams.hear(life, one);
@@ -332,8 +339,8 @@
     }
 
     /// This daemon, as it names itself.
-    fn teller(&self) -> Teller {
-        Teller {
+    fn teller(&self) -> Origin {
+        Origin {
             daemon: self.daemon,
             incarnation: self.peers.incarnation(),
             address: self.own.ip(),
--- a/crates/gateway/src/sharing/asking.rs
+++ b/crates/gateway/src/sharing/asking.rs
@@ -132,7 +132,7 @@
 
     /// Daemons that may be in touch where those that watch for this zone are not.
     fn draw_informants(&self) -> Vec<Member> {
-        let mut by_zone = self.peers.delegates_of_zones(WATCH_DUTY, usize::MAX);
+        let mut by_zone = self.peers.delegates_in_each_zone(WATCH_DUTY, usize::MAX);
         let mut own = by_zone.remove(&self.zone).unwrap_or_default();
         let own_address = self.peers.address();
         own.retain(|member| member.address != own_address);
@@ -171,7 +171,7 @@
     /// Tells the daemons of the zone what has changed.
     pub(crate) async fn tell_changed(&self, relayed: Relayed) {
         let datagram = self.datagram(Message::Changed(relayed));
-        for address in &self.paths().zone {
+        for address in &self.paths().zone_peers {
             self.send(datagram.clone(), *address).await;
         }
     }
--- a/crates/gateway/src/sharing/lives.rs
+++ b/crates/gateway/src/sharing/lives.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use mangofront_dissemination::{Teller, life_of};
+use mangofront_dissemination::{Origin, incarnation_id};
 use mangofront_settings::ids::{Incarnation, InstanceId};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -27,14 +27,14 @@
 
     /// Forgets a life that has ended, and its work.
     fn forget(&self, daemon: u64, incarnation: Incarnation) {
-        let life = life_of(daemon, incarnation);
+        let life = incarnation_id(daemon, incarnation);
         self.upstreams.forget(life);
         self.sequences.borrow_mut().forget(life);
     }
 
     /// Notes that a daemon at `from` lives; false if this life of it has ended, or it
     /// is this one.
-    pub(super) async fn meet(&self, other: &Teller, from: SocketAddr) -> bool {
+    pub(super) async fn meet(&self, other: &Origin, from: SocketAddr) -> bool {
         if other.daemon == self.daemon {
             return false;
         }
@@ -51,7 +51,7 @@
 
     /// Whether this life of a daemon is known; work of an earlier one ended with it
     /// and is forgotten.
-    fn know(&self, other: &Teller) -> Known {
+    fn know(&self, other: &Origin) -> Known {
         let mut lives = self.lives.borrow_mut();
         let before = lives.get(&other.daemon).copied();
         if before.is_some_and(|before| before > other.incarnation) {
--- a/crates/gateway/src/sharing/relaying.rs
+++ b/crates/gateway/src/sharing/relaying.rs
@@ -8,7 +8,7 @@
 use compio::runtime::spawn;
 use futures_channel::mpsc::UnboundedReceiver;
 use futures_util::StreamExt;
-use mangofront_dissemination::{Paths, RELAY_SILENCE, Scope, Telling};
+use mangofront_dissemination::{Batch, RELAY_TIMEOUT, Scope, Topology};
 use mangofront_engines::News;
 
 use super::Sharing;
@@ -26,7 +26,7 @@
                 batch.push(next);
             }
             let paths = self.paths();
-            if paths.is_relayed(self.relay_from_daemons) {
+            if paths.uses_relays(self.relay_from_daemons) {
                 self.tell_by_relays(batch, &paths).await;
             } else {
                 self.tell_all(batch, &paths).await;
@@ -34,28 +34,28 @@
         }
     }
 
-    async fn tell_all(&self, news: Vec<News>, paths: &Paths) {
+    async fn tell_all(&self, news: Vec<News>, paths: &Topology) {
         for part in parts(news) {
             let message = Message::News(self.next_sequence(), part);
-            self.send_all(message, &paths.others).await;
+            self.send_all(message, &paths.peers).await;
         }
     }
 
     /// Has the relays of the zone tell the others; does so itself while nothing is
     /// heard of them.
-    async fn tell_by_relays(self: &Rc<Self>, news: Vec<News>, paths: &Paths) {
-        let is_heard = |at: Instant| at.elapsed() < RELAY_SILENCE;
-        let Some(slice) = paths.slice(paths.slice_of(self.daemon)) else {
+    async fn tell_by_relays(self: &Rc<Self>, news: Vec<News>, paths: &Topology) {
+        let is_heard = |at: Instant| at.elapsed() < RELAY_TIMEOUT;
+        let Some(slice) = paths.shard(paths.shard_of(self.daemon)) else {
             return self.tell_all(news, paths).await;
         };
         if slice.rank.is_none() && !self.relay_heard.get().is_some_and(is_heard) {
             self.tell_all(news.clone(), paths).await;
         }
         for part in parts(news) {
-            let telling = Telling {
-                teller: self.teller(),
+            let telling = Batch {
+                origin: self.teller(),
                 sequence: self.next_sequence(),
-                news: part,
+                updates: part,
             };
             if let Some(rank) = slice.rank {
                 self.hold(telling.clone(), Scope::Fleet, rank);
@@ -66,9 +66,9 @@
     }
 
     /// Holds a telling until it is to be passed on.
-    pub(super) fn hold(self: &Rc<Self>, telling: Telling<News>, scope: Scope, rank: usize) {
+    pub(super) fn hold(self: &Rc<Self>, telling: Batch<News>, scope: Scope, rank: usize) {
         let now = Instant::now();
-        self.held.borrow_mut().hold(telling, scope, rank, now);
+        self.held.borrow_mut().add(telling, scope, rank, now);
         if !self.is_passing_on.replace(true) {
             spawn(Rc::clone(self).pass_on()).detach();
         }
@@ -87,21 +87,24 @@
             self.pass_on_far(&due, &paths).await;
             let all = due.into_iter().map(|(_, telling)| telling).collect();
             for part in parts(all) {
-                self.send_all(Message::PassedOn(part), &paths.zone).await;
+                self.send_all(Message::PassedOn(part), &paths.zone_peers)
+                    .await;
             }
         }
     }
 
     /// Passes on to the relays of the other zones what they have not heard.
-    async fn pass_on_far(&self, due: &[(Scope, Telling<News>)], paths: &Paths) {
-        let mut by_slice: BTreeMap<usize, Vec<Telling<News>>> = BTreeMap::new();
+    async fn pass_on_far(&self, due: &[(Scope, Batch<News>)], paths: &Topology) {
+        let mut by_slice: BTreeMap<usize, Vec<Batch<News>>> = BTreeMap::new();
         let unheard = due.iter().filter(|(scope, _)| *scope == Scope::Fleet);
         for (_, telling) in unheard {
-            let slice = paths.slice_of(telling.teller.daemon);
+            let slice = paths.shard_of(telling.origin.daemon);
             by_slice.entry(slice).or_default().push(telling.clone());
         }
         for (slice, tellings) in by_slice {
-            let far_relays = paths.slice(slice).map(|slice| slice.far_relays.as_slice());
+            let far_relays = paths
+                .shard(slice)
+                .map(|slice| slice.remote_relays.as_slice());
             for part in parts(tellings) {
                 let message = Message::PassOn(Scope::Zone, part);
                 self.send_all(message, far_relays.unwrap_or_default()).await;
@@ -123,16 +126,16 @@
     }
 
     /// Takes in what a daemon told; whether it was new.
-    pub(super) async fn take_telling(&self, telling: &Telling<News>) -> bool {
-        let teller = &telling.teller;
+    pub(super) async fn take_telling(&self, telling: &Batch<News>) -> bool {
+        let teller = &telling.origin;
         let from = SocketAddr::new(teller.address, self.own.port());
         if !self.meet(teller, from).await {
             return false;
         }
-        let life = teller.life();
-        let is_new = self.sequences.borrow_mut().is_new(life, telling.sequence);
+        let life = teller.incarnation_id();
+        let is_new = self.sequences.borrow_mut().advance(life, telling.sequence);
         if is_new {
-            self.take_news(life, telling.news.clone(), from).await;
+            self.take_news(life, telling.updates.clone(), from).await;
         }
         is_new
     }
--- a/crates/gateway/tests/fleet/daemon.rs
+++ b/crates/gateway/tests/fleet/daemon.rs
@@ -193,12 +193,12 @@
     let options = PeersOptions::builder(name(place), REGION, zone(place), listen)
         .heartbeat_period(HEARTBEAT_PERIOD)
         .suspect_after(SUSPECT_AFTER)
-        .news_bytes_per_s(NEWS_BYTES_PER_S)
+        .gossip_bytes_per_s(NEWS_BYTES_PER_S)
         .build();
     let sharing = Rc::clone(sharing);
     let on_change = Rc::new(move |change: MemberChange| {
         let member = &change.member;
-        if let Some(sharing) = sharing.get().filter(|_| !member.state.answers()) {
+        if let Some(sharing) = sharing.get().filter(|_| !member.state.is_responsive()) {
             sharing.gone(&member.instance);
         }
     });
--- a/crates/peers/examples/member.rs
+++ b/crates/peers/examples/member.rs
@@ -86,7 +86,11 @@
             reported = Instant::now();
             let counters = peers.counters();
             let gossip = counters.gossip;
-            let alive = peers.members().iter().filter(|m| m.state.answers()).count();
+            let alive = peers
+                .members()
+                .iter()
+                .filter(|m| m.state.is_responsive())
+                .count();
             println!(
                 "traffic sent {} {} received {} {} missed {} alive {alive} resyncs {}",
                 gossip.messages_sent,
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -214,7 +214,7 @@
             .table
             .get(peer)
             .and_then(|entry| entry.record.as_ref());
-        if record.is_some_and(|record| record.state.answers()) {
+        if record.is_some_and(|record| record.state.is_responsive()) {
             state.table.raise(peer, MemberState::Suspect, now);
         }
     } else if let Some(entry) = state.table.get_mut(peer) {
--- a/crates/peers/src/member.rs
+++ b/crates/peers/src/member.rs
@@ -29,7 +29,7 @@
 impl MemberState {
     /// Whether the member answers, leaving or not.
     #[must_use]
-    pub fn answers(self) -> bool {
+    pub fn is_responsive(self) -> bool {
         matches!(self, Self::Alive | Self::Leaving)
     }
 }
--- a/crates/peers/src/options.rs
+++ b/crates/peers/src/options.rs
@@ -33,7 +33,7 @@
 const DEFAULT_FULL_MESH_LIMIT: usize = 8;
 
 /// Bytes of news a daemon may send a second, averaged.
-const DEFAULT_NEWS_BYTES_PER_S: u32 = 1_500;
+const DEFAULT_GOSSIP_BYTES_PER_S: u32 = 1_500;
 
 /// Settings of [`crate::Peers::start`].
 #[derive(Debug, Clone)]
@@ -52,7 +52,7 @@
     pub(crate) zone_successors: usize,
     pub(crate) cross_zone_links: usize,
     pub(crate) cross_region_links: usize,
-    pub(crate) news_bytes_per_s: u32,
+    pub(crate) gossip_bytes_per_s: u32,
     pub(crate) capacity_percent: u32,
 }
 
@@ -80,7 +80,7 @@
             zone_successors: 2,
             cross_zone_links: 1,
             cross_region_links: 1,
-            news_bytes_per_s: DEFAULT_NEWS_BYTES_PER_S,
+            gossip_bytes_per_s: DEFAULT_GOSSIP_BYTES_PER_S,
             capacity_percent: 100,
         }
     }
@@ -103,7 +103,7 @@
     zone_successors: usize,
     cross_zone_links: usize,
     cross_region_links: usize,
-    news_bytes_per_s: u32,
+    gossip_bytes_per_s: u32,
     capacity_percent: u32,
 }
 
@@ -187,8 +187,8 @@
 
     /// News sent a second on average, in bytes; 1,500 by default.
     #[must_use]
-    pub fn news_bytes_per_s(mut self, bytes: u32) -> Self {
-        self.news_bytes_per_s = bytes;
+    pub fn gossip_bytes_per_s(mut self, bytes: u32) -> Self {
+        self.gossip_bytes_per_s = bytes;
         self
     }
 
@@ -216,7 +216,7 @@
             zone_successors: self.zone_successors,
             cross_zone_links: self.cross_zone_links,
             cross_region_links: self.cross_region_links,
-            news_bytes_per_s: self.news_bytes_per_s,
+            gossip_bytes_per_s: self.gossip_bytes_per_s,
             capacity_percent: self.capacity_percent,
         }
     }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -177,7 +177,7 @@
     /// among them: those with the most processor time first, and by rendezvous hashing
     /// among equals.
     #[must_use]
-    pub fn delegates_by_zone(
+    pub fn delegates_by_capacity(
         &self,
         duty: &str,
         count: usize,
@@ -189,7 +189,7 @@
     /// Members of each availability zone that take on `duty`, as [`Peers::delegates`] names
     /// those of the own one.
     #[must_use]
-    pub fn delegates_of_zones(
+    pub fn delegates_in_each_zone(
         &self,
         duty: &str,
         count: usize,
--- a/crates/peers/src/state.rs
+++ b/crates/peers/src/state.rs
@@ -93,7 +93,7 @@
             table,
             pulses: Pulses::new(zone, now),
             publications: Publications::default(),
-            allowance: Allowance::new(options.news_bytes_per_s, now),
+            allowance: Allowance::new(options.gossip_bytes_per_s, now),
             full_mesh: true,
             reported_through: 0,
             contacts: BTreeMap::new(),
--- a/crates/peers/src/table.rs
+++ b/crates/peers/src/table.rs
@@ -126,7 +126,7 @@
         if entry.record.as_ref().is_some_and(|known| *known >= record) {
             return false;
         }
-        if record.state.answers() {
+        if record.state.is_responsive() {
             entry.last_heard = Some(now);
             entry.avoid_until = None;
         }
--- a/crates/peers/tests/delegates.rs
+++ b/crates/peers/tests/delegates.rs
@@ -79,7 +79,7 @@
     members.iter().for_each(|peers| peers.set_listed(&listed));
     eventually("each sees the ablest of both zones", || {
         members.iter().all(|peers| {
-            let by_zone = peers.delegates_by_zone(DUTY, 1);
+            let by_zone = peers.delegates_by_capacity(DUTY, 1);
             let ablest = by_zone.values().flatten().map(|one| one.instance.clone());
             ablest.collect::<Vec<_>>() == ["z0-6", "z1-7"]
         })
--- a/crates/peers/tests/publish.rs
+++ b/crates/peers/tests/publish.rs
@@ -72,7 +72,7 @@
     const BYTES_PER_S: u32 = 20_000;
     // Names, hashes and beats of one heartbeat, answer or framing.
     const HEAD_BYTES: u64 = 200;
-    let options = |name| common::options(name, "za").news_bytes_per_s(BYTES_PER_S);
+    let options = |name| common::options(name, "za").gossip_bytes_per_s(BYTES_PER_S);
     let publisher = common::start(options("publisher"));
     let reader = common::start(options("reader"));
     reader.set_listed(&[common::listed("publisher", "za", &publisher)]);
