--- a/crates/admission/examples/embed.rs
+++ b/crates/admission/examples/embed.rs
@@ -34,7 +34,7 @@
     };
     let mut permit = admission.admit(request, estimate).await?;
     // The request would run here; its first token comes, then the rest.
-    permit.first_token(arrived.elapsed());
+    permit.record_first_token(arrived.elapsed());
     drop(permit);
     println!("{:?}", admission.status());
     Ok(())
--- a/crates/admission/src/lane.rs
+++ b/crates/admission/src/lane.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use mangofront_placement::{DecayedSum, Estimate, Smoothed};
+use mangofront_placement::{DecayedSum, Estimate, SmoothedMean};
 use mangofront_settings::ids::ModelName;
 use serde::Serialize;
 
@@ -87,7 +87,7 @@
     pub(crate) outstanding: usize,
     pub(crate) queue: Queue,
     drained: DecayedSum,
-    error: Smoothed,
+    error: SmoothedMean,
     error_at: Option<Instant>,
 }
 
@@ -107,7 +107,7 @@
             outstanding: 0,
             queue: Queue::new(length.quantum_tokens()),
             drained: DecayedSum::new(DRAIN_HALF_LIFE),
-            error: Smoothed::default(),
+            error: SmoothedMean::default(),
             error_at: None,
         }
     }
--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -13,7 +13,7 @@
 
 use std::time::{Duration, Instant};
 
-use mangofront_placement::Smoothed;
+use mangofront_placement::SmoothedMean;
 
 /// Largest limit.
 const MAX_LIMIT: f64 = 4_096.0;
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct AdaptiveLimit {
     limit: f64,
-    late_share: Smoothed,
+    late_share: SmoothedMean,
     was_decreased: bool,
     decreased_at: Option<Instant>,
 }
@@ -68,7 +68,7 @@
     pub(crate) fn new(initial: f64) -> Self {
         Self {
             limit: initial.clamp(1.0, MAX_LIMIT),
-            late_share: Smoothed::default(),
+            late_share: SmoothedMean::default(),
             was_decreased: false,
             decreased_at: None,
         }
--- a/crates/admission/src/permit.rs
+++ b/crates/admission/src/permit.rs
@@ -16,7 +16,7 @@
 
 impl Permit {
     /// Notes the time from arrival to the first token; only the first call counts.
-    pub fn first_token(&mut self, time_to_first_token: Duration) {
+    pub fn record_first_token(&mut self, time_to_first_token: Duration) {
         if self.has_started {
             return;
         }
@@ -27,7 +27,7 @@
     }
 
     /// Notes that the answer ended well, for one that came without a first token.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.has_succeeded = true;
     }
 }
@@ -35,7 +35,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         if self.has_started || self.has_succeeded {
-            self.admission.retry_budget().succeeded();
+            self.admission.retry_budget().record_success();
         } else {
             self.admission.observe_end(&self.admitted);
         }
--- a/crates/admission/src/retry.rs
+++ b/crates/admission/src/retry.rs
@@ -44,7 +44,7 @@
         self.saved.get() as u32
     }
 
-    pub(crate) fn succeeded(&self) {
+    pub(crate) fn record_success(&self) {
         let saved = self.saved.get() + self.share;
         self.saved.set(saved.min(MAX_SAVED_RETRIES));
     }
--- a/crates/admission/tests/decisions.rs
+++ b/crates/admission/tests/decisions.rs
@@ -73,7 +73,7 @@
         for _ in 0..count {
             self.clock.advance(Duration::from_millis(100));
             if let Some(mut permit) = permits.pop() {
-                permit.first_token(Duration::from_millis(100));
+                permit.record_first_token(Duration::from_millis(100));
             }
         }
     }
@@ -101,7 +101,7 @@
 }
 
 fn quickly(permit: &mut Permit) {
-    permit.first_token(Duration::from_millis(120));
+    permit.record_first_token(Duration::from_millis(120));
 }
 
 async fn refusal(mut admitting: Admitting) -> Refusal {
@@ -285,7 +285,7 @@
     for round in 0..100 {
         permits = desk.fill().await;
         let late_ms = if round % 10 == 0 { 2_000 } else { 120 };
-        permits[0].first_token(Duration::from_millis(late_ms));
+        permits[0].record_first_token(Duration::from_millis(late_ms));
         desk.clock.advance(Duration::from_secs(2));
         permits.iter_mut().skip(1).for_each(quickly);
         permits.clear();
@@ -296,7 +296,7 @@
         permits = desk.fill().await;
         desk.clock.advance(Duration::from_secs(2));
         for permit in &mut permits {
-            permit.first_token(Duration::from_millis(2_000));
+            permit.record_first_token(Duration::from_millis(2_000));
         }
         permits.clear();
     }
@@ -309,7 +309,7 @@
         .await
         .expect("at once")
         .expect("admitted");
-    permit.first_token(Duration::from_secs(75));
+    permit.record_first_token(Duration::from_secs(75));
     let lanes = desk.admission.status().lanes;
     assert_eq!(lanes.len(), 2);
     assert_eq!(lanes[1].limit, 4);
@@ -344,7 +344,7 @@
     let mut taken = 0;
     for _ in 0..100 {
         let mut permit = desk.short("tuul").await.expect("admitted");
-        permit.first_token(Duration::from_millis(100));
+        permit.record_first_token(Duration::from_millis(100));
         drop(permit);
         taken += usize::from(budget.try_take());
     }
@@ -413,7 +413,7 @@
             Step::FirstToken(index, first_token_ms) if !permits.is_empty() => {
                 let index = index % permits.len();
                 let permit: &mut Permit = &mut permits[index];
-                permit.first_token(Duration::from_millis(first_token_ms));
+                permit.record_first_token(Duration::from_millis(first_token_ms));
             }
             Step::DropPermit(index) if !permits.is_empty() => {
                 drop(permits.swap_remove(index % permits.len()));
--- a/crates/daemon/src/engines.rs
+++ b/crates/daemon/src/engines.rs
@@ -109,13 +109,13 @@
         let pause = match read {
             Ok(report) => {
                 if let Some(report) = report {
-                    parts.placement.report(&target.instance, report);
+                    parts.placement.apply_load_report(&target.instance, report);
                 }
                 load_interval(followed.get())
             }
             Err(error) => {
                 log::debug!("engines: load of {} not read: {error}", target.instance);
-                parts.placement.report_failed(&target.instance);
+                parts.placement.record_report_failure(&target.instance);
                 // Whether it is gone must be known soon, however many there are.
                 LOAD_INTERVAL
             }
@@ -140,7 +140,9 @@
         return Ok(());
     };
     let mut from = snapshot.sequence;
-    parts.placement.cache_snapshot(&target.instance, snapshot);
+    parts
+        .placement
+        .apply_cache_snapshot(&target.instance, snapshot);
     loop {
         let wait_ms = EVENTS_WAIT.as_millis();
         let path = format!("/v1/cache/events?from={from}&wait_ms={wait_ms}");
@@ -148,7 +150,7 @@
         let Some(events) = read::<CacheEvents>(parts, target, &path, timeout).await? else {
             continue;
         };
-        match parts.placement.cache_events(&target.instance, events) {
+        match parts.placement.apply_cache_events(&target.instance, events) {
             CacheSync::InSync { next_sequence } => from = next_sequence,
             CacheSync::NeedsSnapshot => return Ok(()),
         }
--- a/crates/daemon/src/explain.rs
+++ b/crates/daemon/src/explain.rs
@@ -5,7 +5,7 @@
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
 use mangofront_http::{Body, ErrorBody, Outcome, collect, json};
-use mangofront_placement::Demand;
+use mangofront_placement::PlacementRequest;
 use mangofront_prompt::DEFAULT_MAX_TOKENS;
 use mangofront_settings::published::Class;
 use serde::Deserialize;
@@ -41,7 +41,7 @@
     }
 }
 
-fn demand(parts: &Parts, question: Question) -> Result<Demand, String> {
+fn demand(parts: &Parts, question: Question) -> Result<PlacementRequest, String> {
     if let Some(organisation) = &question.organisation {
         check_organisation(parts, organisation)?;
     }
@@ -51,7 +51,7 @@
     };
     let target = class.as_ref().map(Class::time_to_first_token);
     let limit = class.as_ref().map(Class::time_limit);
-    Ok(Demand {
+    Ok(PlacementRequest {
         model: question.model,
         length_tokens: question.tokens,
         max_tokens: DEFAULT_MAX_TOKENS,
--- a/crates/daemon/src/views.rs
+++ b/crates/daemon/src/views.rs
@@ -30,7 +30,7 @@
     let mut views = peers.subscribe(Topic::Load);
     while let Some(published) = views.next().await {
         if published.origin != own {
-            placement.peer_view(&published.origin, published.incarnation, published.value);
+            placement.apply_peer_view(&published.origin, published.incarnation, published.value);
         }
     }
 }
--- a/crates/entry/src/completion/attempts.rs
+++ b/crates/entry/src/completion/attempts.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use mangofront_admission::Permit;
-use mangofront_placement::{EngineOutcome, Placed};
+use mangofront_placement::{EngineOutcome, PlacedRequest};
 use mangofront_upstream::engine::{self, EngineStream, Frame, Generate};
 use mangofront_upstream::reservation::GroupReservation;
 use mangofront_upstream::{SendError, Target};
@@ -53,7 +53,7 @@
 /// The attempt that is open.
 #[derive(Debug)]
 struct Running {
-    placed: Placed,
+    placed: PlacedRequest,
     /// Held until the attempt is over.
     _reservation: Option<GroupReservation>,
     stream: EngineStream,
@@ -147,7 +147,7 @@
         Ok(None)
     }
 
-    async fn start(&mut self, placed: Placed) -> Result<Running, SendError> {
+    async fn start(&mut self, placed: PlacedRequest) -> Result<Running, SendError> {
         checks::not_leaving(&self.entry, &placed.instance);
         let reservation = self.prepare_group(&placed).await?;
         let call = self.call(&placed, reservation.as_ref());
@@ -173,7 +173,7 @@
     /// Memory and prefill on a group, when the prompt needs one.
     async fn prepare_group(
         &mut self,
-        placed: &Placed,
+        placed: &PlacedRequest,
     ) -> Result<Option<GroupReservation>, SendError> {
         let Some(members) = &placed.group else {
             return Ok(None);
@@ -191,7 +191,7 @@
         Ok(Some(reservation))
     }
 
-    fn call(&self, placed: &Placed, reservation: Option<&GroupReservation>) -> Generate {
+    fn call(&self, placed: &PlacedRequest, reservation: Option<&GroupReservation>) -> Generate {
         Generate {
             endpoint: self.request.endpoint,
             body: self.request.body.content.clone(),
@@ -209,11 +209,13 @@
         self.next_offset = frame.offset + 1;
         if running.first_token_seen {
             running.generated_tokens += 1;
-            running.placed.tokens(running.generated_tokens);
+            running
+                .placed
+                .record_generated_tokens(running.generated_tokens);
         } else {
             running.first_token_seen = true;
             running.generated_tokens = 1;
-            running.placed.first_token();
+            running.placed.record_first_token();
         }
         if frame.offset == 0 {
             self.observe_first_token();
@@ -221,13 +223,13 @@
         if frame.finish_reason.is_some() {
             self.finished = true;
             let placement = &self.entry.parts().placement;
-            placement.outcome(&running.target.instance, EngineOutcome::Success);
+            placement.record_outcome(&running.target.instance, EngineOutcome::Success);
         }
     }
 
     fn observe_first_token(&mut self) {
         let time = self.request.caller.arrived.elapsed();
-        self.permit.first_token(time);
+        self.permit.record_first_token(time);
         let length_tokens = self.request.prompt.length_tokens;
         self.progress.first_token(length_tokens, time);
     }
@@ -278,7 +280,7 @@
         self.check_deadline()?;
         let parts = self.entry.parts();
         let outcome = engine_outcome(&error);
-        parts.placement.outcome(error.peer(), outcome);
+        parts.placement.record_outcome(error.peer(), outcome);
         parts.metrics.upstream_error(error.step_name());
         let has_begun = self.next_offset > 0;
         if !self.retries.allowed(outcome, has_begun, &parts.admission) {
--- a/crates/entry/src/completion/mod.rs
+++ b/crates/entry/src/completion/mod.rs
@@ -19,7 +19,7 @@
 use http::{HeaderMap, Response, StatusCode};
 use mangofront_admission::{AdmissionRequest, RefusalReason};
 use mangofront_http::{Body, json};
-use mangofront_placement::Demand;
+use mangofront_placement::PlacementRequest;
 use mangofront_prompt::{Endpoint, Prompt};
 
 use crate::bodies::{self, HeldBody};
@@ -43,7 +43,7 @@
     /// Who sent it and until when.
     pub(crate) caller: Caller,
     /// What it asks of an engine.
-    pub(crate) demand: Demand,
+    pub(crate) demand: PlacementRequest,
 }
 
 /// Answers a request for a model's answer.
@@ -100,7 +100,7 @@
     let body = bodies::read(active, caller.deadline).await?;
     let mut prompt = mangofront_prompt::read(endpoint, &body.content)?;
     check_model(entry, &prompt.model)?;
-    let demand = Demand {
+    let demand = PlacementRequest {
         model: prompt.model.clone(),
         length_tokens: prompt.length_tokens,
         max_tokens: prompt.max_tokens,
--- a/crates/placement/examples/embed.rs
+++ b/crates/placement/examples/embed.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use mangofront_placement::{Demand, EngineInfo, Placement, PlacementOptions};
+use mangofront_placement::{EngineInfo, Placement, PlacementOptions, PlacementRequest};
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let options = PlacementOptions::new("entry-1".to_owned(), "hall-a".to_owned());
@@ -14,7 +14,7 @@
         address: "127.0.0.1:9000".parse()?,
         leaving: false,
     }]);
-    let demand = Demand {
+    let demand = PlacementRequest {
         model: "assist-llm".to_owned(),
         length_tokens: 1_200,
         max_tokens: 200,
@@ -26,7 +26,7 @@
     println!("{} at {}", placed.instance, placed.address);
     println!("priority {}, {:?}", placed.priority, placed.estimate);
     // The request would be sent here; its first token comes, then the rest.
-    placed.first_token();
-    placed.tokens(200);
+    placed.record_first_token();
+    placed.record_generated_tokens(200);
     Ok(())
 }
--- a/crates/placement/examples/place_cost.rs
+++ b/crates/placement/examples/place_cost.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use mangofront_placement::{
-    CacheSnapshot, Demand, EngineInfo, EngineRole, EngineState, LoadReport, Placement,
-    PlacementOptions,
+    CacheSnapshot, EngineInfo, EngineRole, EngineState, LoadReport, Placement, PlacementOptions,
+    PlacementRequest,
 };
 
 const ENGINES: usize = 25;
@@ -23,7 +23,7 @@
     let blocks: Vec<u64> = (1..=BLOCKS).map(spread).collect();
     for index in 0..ENGINES {
         let instance = format!("engine-{index}");
-        placement.report(&instance, report());
+        placement.apply_load_report(&instance, report());
         let cached = blocks.len() * index / ENGINES;
         let other = (1..=BLOCKS).map(|block| spread(block + BLOCKS * (index as u64 + 1)));
         let all = blocks[..cached].iter().copied().chain(other);
@@ -32,7 +32,7 @@
             sequence: 0,
             blocks: all.map(|block| format!("{block:016x}")).collect(),
         };
-        placement.cache_snapshot(&instance, snapshot);
+        placement.apply_cache_snapshot(&instance, snapshot);
     }
     for (name, length_tokens, blocks) in [
         ("1,000 tokens, no block", 1_000, Vec::new()),
@@ -76,7 +76,7 @@
         size_bytes = view.len();
         let start = Instant::now();
         for number in 0..PEERS {
-            placement.peer_view(&format!("entry-{}", number + 2), 1, view.clone());
+            placement.apply_peer_view(&format!("entry-{}", number + 2), 1, view.clone());
         }
         taken += start.elapsed();
     }
@@ -89,8 +89,8 @@
     Ok(())
 }
 
-fn demand(length_tokens: u64, blocks: Vec<u64>) -> Demand {
-    Demand {
+fn demand(length_tokens: u64, blocks: Vec<u64>) -> PlacementRequest {
+    PlacementRequest {
         model: "assist-llm".to_owned(),
         length_tokens,
         max_tokens: 256,
--- a/crates/placement/src/backlog.rs
+++ b/crates/placement/src/backlog.rs
@@ -11,7 +11,7 @@
 
 use std::time::Instant;
 
-use crate::demand::Demand;
+use crate::demand::PlacementRequest;
 use crate::engine::Engine;
 use crate::rates::PrefillLine;
 use crate::work::{BANDS, band};
@@ -78,7 +78,7 @@
     engine: &Engine,
     backlog: &Backlog,
     line: &PrefillLine,
-    demand: &Demand,
+    demand: &PlacementRequest,
 ) -> f64 {
     let ahead_s = backlog.ahead_tokens * line.token_s;
     let memory_s = memory_wait_s(engine, demand);
@@ -91,7 +91,7 @@
 
 /// Time for which finished prefills go on holding memory that the request
 /// needs, in seconds.
-fn memory_wait_s(engine: &Engine, demand: &Demand) -> f64 {
+fn memory_wait_s(engine: &Engine, demand: &PlacementRequest) -> f64 {
     let Some(reported) = &engine.report else {
         return 0.0;
     };
--- a/crates/placement/src/bars.rs
+++ b/crates/placement/src/bars.rs
@@ -2,10 +2,10 @@
 
 use mangofront_settings::ids::InstanceId;
 
-use crate::demand::Demand;
+use crate::demand::PlacementRequest;
 use crate::engine::Engine;
 use crate::estimate::Asked;
-use crate::explain::Verdict;
+use crate::explain::SelectionReason;
 use crate::model::Model;
 
 /// Engines' memory is believed up to this many times the typical, either way.
@@ -16,19 +16,19 @@
     engine: &Engine,
     asked: &Asked<'_>,
     excluded: &[InstanceId],
-) -> Option<Verdict> {
+) -> Option<SelectionReason> {
     if engine.is_leaving(asked.now) {
-        Some(Verdict::Leaving)
+        Some(SelectionReason::Leaving)
     } else if engine.health.refuses_as_loading(asked.now) {
-        Some(Verdict::Loading)
+        Some(SelectionReason::Loading)
     } else if excluded.contains(&engine.info.instance) {
-        Some(Verdict::Excluded)
+        Some(SelectionReason::Excluded)
     } else if kv_tokens(engine, asked).is_some_and(|kv| needed_tokens(asked.demand) > kv) {
-        Some(Verdict::TooSmall)
+        Some(SelectionReason::TooSmall)
     } else if engine.health.is_ejected() {
-        Some(Verdict::Ejected)
+        Some(SelectionReason::Ejected)
     } else if engine.health.is_unreachable() {
-        Some(Verdict::Unreachable)
+        Some(SelectionReason::Unreachable)
     } else {
         None
     }
@@ -58,7 +58,7 @@
 }
 
 /// Memory that a request takes while it runs, in tokens.
-pub(crate) fn needed_tokens(demand: &Demand) -> u64 {
+pub(crate) fn needed_tokens(demand: &PlacementRequest) -> u64 {
     demand
         .length_tokens
         .saturating_add(u64::from(demand.max_tokens))
--- a/crates/placement/src/choose.rs
+++ b/crates/placement/src/choose.rs
@@ -9,7 +9,7 @@
 use crate::demand::NoEngine;
 use crate::engine::Engine;
 use crate::estimate::{Asked, Terms, seconds, weigh, weigh_share};
-use crate::explain::Verdict;
+use crate::explain::SelectionReason;
 use crate::group::{Room, Share, plan};
 use crate::model::{Model, SharedEngine};
 use crate::options::{PlacementOptions, Policy};
@@ -41,7 +41,7 @@
     pub(crate) index: usize,
     pub(crate) terms: Terms,
     /// Why it can't be taken; none when it can.
-    pub(crate) barred: Option<Verdict>,
+    pub(crate) barred: Option<SelectionReason>,
     held_back: bool,
 }
 
@@ -68,15 +68,15 @@
     }
 
     /// Why it was not taken, though it could have been.
-    pub(crate) fn verdict(&self) -> Verdict {
+    pub(crate) fn verdict(&self) -> SelectionReason {
         if let Some(barred) = self.barred {
             return barred;
         }
         match self.rank() {
-            Rank::Good => Verdict::CostsMore,
-            Rank::DelaysOthers => Verdict::DelaysOthers,
-            Rank::MissesTarget => Verdict::MissesTarget,
-            Rank::HeldBack => Verdict::HeldBack,
+            Rank::Good => SelectionReason::CostsMore,
+            Rank::DelaysOthers => SelectionReason::DelaysOthers,
+            Rank::MissesTarget => SelectionReason::MissesTarget,
+            Rank::HeldBack => SelectionReason::HeldBack,
         }
     }
 }
@@ -118,7 +118,7 @@
     }
     if weighed
         .iter()
-        .any(|weighed| weighed.barred == Some(Verdict::TooSmall))
+        .any(|weighed| weighed.barred == Some(SelectionReason::TooSmall))
     {
         return choose_group(model, asked, weighed);
     }
@@ -135,7 +135,7 @@
     let doubtful = weighed.iter().filter(|weighed| {
         matches!(
             weighed.barred,
-            Some(Verdict::Ejected | Verdict::Unreachable)
+            Some(SelectionReason::Ejected | SelectionReason::Unreachable)
         )
     });
     doubtful.copied().collect()
@@ -197,7 +197,7 @@
 fn choose_group(model: &Model, asked: &Asked<'_>, weighed: &[Weighed]) -> Result<Choice, NoEngine> {
     let members = weighed
         .iter()
-        .filter(|weighed| weighed.barred == Some(Verdict::TooSmall));
+        .filter(|weighed| weighed.barred == Some(SelectionReason::TooSmall));
     let healthy = members.clone().filter(|weighed| {
         let engine = model.order[weighed.index].borrow();
         !engine.health.is_ejected() && !engine.health.is_unreachable()
--- a/crates/placement/src/decayed.rs
+++ b/crates/placement/src/decayed.rs
@@ -52,13 +52,13 @@
 
 /// Running mean with its mean deviation, as TCP keeps of its round trips.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Smoothed {
+pub struct SmoothedMean {
     mean: f64,
     deviation: f64,
     samples: u32,
 }
 
-impl Smoothed {
+impl SmoothedMean {
     /// Takes in a sample; one that is not finite is ignored.
     pub fn observe(&mut self, sample: f64) {
         if !sample.is_finite() {
--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -25,7 +25,7 @@
 
 /// One request that wants an engine.
 #[derive(Debug, Clone)]
-pub struct Demand {
+pub struct PlacementRequest {
     /// Model asked for.
     pub model: ModelName,
     /// Length of the prompt, in tokens.
--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -4,7 +4,7 @@
 
 use crate::border::Interval;
 use crate::cache::CacheView;
-use crate::decayed::Smoothed;
+use crate::decayed::SmoothedMean;
 use crate::demand::EngineInfo;
 use crate::gossip::{EngineWork, NameKey, name_key};
 use crate::health::Health;
@@ -38,9 +38,9 @@
     pub(crate) cache: CacheView,
     pub(crate) fit: PrefillFit,
     /// Time of a decoding step, in seconds.
-    pub(crate) step_s: Smoothed,
+    pub(crate) step_s: SmoothedMean,
     /// Time for which a request holds its memory, in seconds.
-    pub(crate) hold_s: Smoothed,
+    pub(crate) hold_s: SmoothedMean,
     pub(crate) health: Health,
 }
 
@@ -63,8 +63,8 @@
             peers: PeerWork::default(),
             cache: CacheView::default(),
             fit: PrefillFit::default(),
-            step_s: Smoothed::default(),
-            hold_s: Smoothed::default(),
+            step_s: SmoothedMean::default(),
+            hold_s: SmoothedMean::default(),
             health,
         }
     }
--- a/crates/placement/src/estimate.rs
+++ b/crates/placement/src/estimate.rs
@@ -4,7 +4,7 @@
 
 use crate::backlog::{Backlog, backlog, queue_s};
 use crate::border::{Interval, LENGTH_CLASSES, length_class};
-use crate::demand::{Demand, Estimate};
+use crate::demand::{Estimate, PlacementRequest};
 use crate::engine::Engine;
 use crate::model::Typical;
 use crate::priority::priority;
@@ -34,7 +34,7 @@
 /// A request and what is the same for every engine that it is weighed against.
 #[derive(Debug)]
 pub(crate) struct Asked<'a> {
-    pub(crate) demand: &'a Demand,
+    pub(crate) demand: &'a PlacementRequest,
     pub(crate) now: Instant,
     /// Availability zone of this daemon.
     pub(crate) availability_zone: &'a str,
--- a/crates/placement/src/explain.rs
+++ b/crates/placement/src/explain.rs
@@ -24,12 +24,12 @@
     /// Why none would be taken.
     pub refused: Option<NoEngine>,
     /// Every engine of the model, from the short end of the stable order.
-    pub considered: Vec<Considered>,
+    pub considered: Vec<CandidateEngine>,
 }
 
 /// One engine that was considered.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Considered {
+pub struct CandidateEngine {
     /// Engine's instance.
     pub instance: InstanceId,
     /// Its availability zone.
@@ -47,13 +47,13 @@
     /// Cost by which engines are compared, in milliseconds.
     pub cost_ms: f64,
     /// Why it was taken or not.
-    pub verdict: Verdict,
+    pub verdict: SelectionReason,
 }
 
 /// Why an engine was taken or not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Verdict {
+pub enum SelectionReason {
     /// It was taken.
     Chosen,
     /// Another one costs less, or has less to do at the same cost.
@@ -125,7 +125,7 @@
     pub prefill_tokens_per_s: f64,
 }
 
-impl Considered {
+impl CandidateEngine {
     pub(crate) fn of(
         engine: &SharedEngine,
         weighed: &Weighed,
@@ -150,7 +150,7 @@
             estimate: terms.estimate,
             cost_ms: terms.cost_s * 1e3,
             verdict: if is_chosen {
-                Verdict::Chosen
+                SelectionReason::Chosen
             } else {
                 weighed.verdict()
             },
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -80,7 +80,7 @@
     }
 
     /// Takes in an outcome; true when the engine should be ejected.
-    pub(crate) fn outcome(&mut self, outcome: EngineOutcome, now: Instant) -> bool {
+    pub(crate) fn record_outcome(&mut self, outcome: EngineOutcome, now: Instant) -> bool {
         match outcome {
             EngineOutcome::Success => {
                 self.succeeded(now);
@@ -108,7 +108,7 @@
         }
     }
 
-    pub(crate) fn report_failed(&mut self) {
+    pub(crate) fn record_report_failure(&mut self) {
         self.reports_failed = self.reports_failed.saturating_add(1);
     }
 
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -36,11 +36,15 @@
 mod work;
 
 pub use crate::clock::Clock;
-pub use crate::decayed::{DecayedSum, Smoothed};
-pub use crate::demand::{Demand, EngineInfo, EngineOutcome, Estimate, GroupMember, NoEngine};
-pub use crate::explain::{Considered, EngineStatus, Explanation, PlacementStatus, Verdict};
+pub use crate::decayed::{DecayedSum, SmoothedMean};
+pub use crate::demand::{
+    EngineInfo, EngineOutcome, Estimate, GroupMember, NoEngine, PlacementRequest,
+};
+pub use crate::explain::{
+    CandidateEngine, EngineStatus, Explanation, PlacementStatus, SelectionReason,
+};
 pub use crate::options::{DEFAULT_ZONE_PENALTY, PlacementOptions, Policy};
-pub use crate::placed::Placed;
+pub use crate::placed::PlacedRequest;
 pub use crate::placement::Placement;
 pub use crate::report::{
     CacheEvent, CacheEventKind, CacheEvents, CacheSnapshot, CacheSync, EngineRole, EngineState,
--- a/crates/placement/src/model.rs
+++ b/crates/placement/src/model.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::border::{DemandByLength, Interval};
-use crate::decayed::{DecayedSum, Smoothed};
+use crate::decayed::{DecayedSum, SmoothedMean};
 use crate::engine::Engine;
 use crate::gossip::{NameKey, name_key};
 use crate::rates::PrefillLine;
@@ -51,11 +51,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct Learned {
     /// Length of the answer as a share of the longest allowed.
-    pub(crate) answer_share: Smoothed,
+    pub(crate) answer_share: SmoothedMean,
     /// Delay of short work by less urgent work in progress, in seconds.
-    pub(crate) interference_s: Smoothed,
+    pub(crate) interference_s: SmoothedMean,
     /// Measured over predicted time to first token of groups.
-    pub(crate) group_stretch: Smoothed,
+    pub(crate) group_stretch: SmoothedMean,
 }
 
 /// View of one model.
--- a/crates/placement/src/placed.rs
+++ b/crates/placement/src/placed.rs
@@ -9,7 +9,7 @@
 use mangofront_settings::ids::InstanceId;
 
 use crate::clock::Clock;
-use crate::demand::{Demand, Estimate, GroupMember};
+use crate::demand::{Estimate, GroupMember, PlacementRequest};
 use crate::estimate::{Terms, seconds};
 use crate::model::{Learned, SharedEngine};
 use crate::work::WorkId;
@@ -28,7 +28,7 @@
 
 /// A request's place on an engine; dropping it takes it out of the view.
 #[derive(Debug)]
-pub struct Placed {
+pub struct PlacedRequest {
     /// Engine's instance.
     pub instance: InstanceId,
     /// Engine's HTTP address.
@@ -44,7 +44,7 @@
     pub(crate) guard: Guard,
 }
 
-/// The part of [`Placed`] that the view is kept by.
+/// The part of [`PlacedRequest`] that the view is kept by.
 #[derive(Debug)]
 pub(crate) struct Guard {
     pub(crate) clock: Clock,
@@ -64,7 +64,7 @@
         clock: Clock,
         terms: Terms,
         learned: Rc<RefCell<Learned>>,
-        demand: &Demand,
+        demand: &PlacementRequest,
     ) -> Self {
         Self {
             placed_at: clock.now(),
@@ -136,9 +136,9 @@
     }
 }
 
-impl Placed {
+impl PlacedRequest {
     /// Notes that the first token has come; only the first call counts.
-    pub fn first_token(&mut self) {
+    pub fn record_first_token(&mut self) {
         if self.guard.first_token_at.is_some() {
             return;
         }
@@ -152,7 +152,7 @@
     }
 
     /// Notes how many tokens of the answer have come so far, all told.
-    pub fn tokens(&mut self, generated_tokens: u32) {
+    pub fn record_generated_tokens(&mut self, generated_tokens: u32) {
         self.guard.generated_tokens = self.guard.generated_tokens.max(generated_tokens);
     }
 }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -10,12 +10,12 @@
 use crate::bars::needed_tokens;
 use crate::border::length_class;
 use crate::choose::{Choice, Weighed, choose, weigh_all};
-use crate::demand::{Demand, EngineInfo, EngineOutcome, Estimate, GroupMember, NoEngine};
+use crate::demand::{EngineInfo, EngineOutcome, Estimate, GroupMember, NoEngine, PlacementRequest};
 use crate::estimate::Asked;
-use crate::explain::{Considered, EngineStatus, Explanation, PlacementStatus};
+use crate::explain::{CandidateEngine, EngineStatus, Explanation, PlacementStatus};
 use crate::model::{Model, SharedEngine};
 use crate::options::{PlacementOptions, Policy};
-use crate::placed::{Guard, Placed};
+use crate::placed::{Guard, PlacedRequest};
 use crate::priority::BASELINE_PRIORITY;
 use crate::report::{CacheEvents, CacheSnapshot, CacheSync, LoadReport};
 use crate::view::Views;
@@ -54,7 +54,7 @@
     }
 
     /// Takes in an engine's load report.
-    pub fn report(&self, instance: &InstanceId, report: LoadReport) {
+    pub fn apply_load_report(&self, instance: &InstanceId, report: LoadReport) {
         let mut views = self.views.borrow_mut();
         let Some(engine) = views.engines.get(instance).cloned() else {
             return;
@@ -72,19 +72,19 @@
     }
 
     /// Notes that an engine's load report could not be fetched.
-    pub fn report_failed(&self, instance: &InstanceId) {
+    pub fn record_report_failure(&self, instance: &InstanceId) {
         if let Some(engine) = self.engine(instance) {
-            engine.borrow_mut().health.report_failed();
+            engine.borrow_mut().health.record_report_failure();
         }
     }
 
     /// Notes how a request ended on an engine.
-    pub fn outcome(&self, instance: &InstanceId, outcome: EngineOutcome) {
+    pub fn record_outcome(&self, instance: &InstanceId, outcome: EngineOutcome) {
         let Some(engine) = self.engine(instance) else {
             return;
         };
         let now = self.now();
-        if !engine.borrow_mut().health.outcome(outcome, now) {
+        if !engine.borrow_mut().health.record_outcome(outcome, now) {
             return;
         }
         let views = self.views.borrow();
@@ -95,14 +95,14 @@
     }
 
     /// Takes in the whole content of an engine's prefix cache.
-    pub fn cache_snapshot(&self, instance: &InstanceId, snapshot: CacheSnapshot) {
+    pub fn apply_cache_snapshot(&self, instance: &InstanceId, snapshot: CacheSnapshot) {
         if let Some(engine) = self.engine(instance) {
             engine.borrow_mut().cache.snapshot(&snapshot);
         }
     }
 
     /// Takes in changes of an engine's prefix cache.
-    pub fn cache_events(&self, instance: &InstanceId, events: CacheEvents) -> CacheSync {
+    pub fn apply_cache_events(&self, instance: &InstanceId, events: CacheEvents) -> CacheSync {
         match self.engine(instance) {
             Some(engine) => engine.borrow_mut().cache.events(&events),
             None => CacheSync::InSync {
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     /// [`NoEngine`] when no engine can take it.
-    pub fn estimate(&self, demand: &Demand) -> Result<Estimate, NoEngine> {
+    pub fn estimate(&self, demand: &PlacementRequest) -> Result<Estimate, NoEngine> {
         let choice = self.decide(demand, &[])?;
         Ok(choice.terms.estimate)
     }
@@ -124,7 +124,11 @@
     ///
     /// # Errors
     /// [`NoEngine`] when no engine can take it.
-    pub fn place(&self, demand: &Demand, excluded: &[InstanceId]) -> Result<Placed, NoEngine> {
+    pub fn place(
+        &self,
+        demand: &PlacementRequest,
+        excluded: &[InstanceId],
+    ) -> Result<PlacedRequest, NoEngine> {
         let choice = self.decide(demand, excluded)?;
         let now = self.now();
         let mut views = self.views.borrow_mut();
@@ -150,7 +154,7 @@
             guard.works.push((Rc::clone(engine), id));
         }
         let info = &choice.engine.borrow().info;
-        Ok(Placed {
+        Ok(PlacedRequest {
             instance: info.instance.clone(),
             address: info.address,
             priority: sent_priority(self.options.policy, choice.terms.priority),
@@ -168,21 +172,21 @@
     }
 
     /// Takes in a peer's view of its own placements.
-    pub fn peer_view(&self, daemon: &InstanceId, incarnation: Incarnation, view: Bytes) {
+    pub fn apply_peer_view(&self, daemon: &InstanceId, incarnation: Incarnation, view: Bytes) {
         if *daemon == self.options.daemon {
             return;
         }
         let mut views = self.views.borrow_mut();
-        views.peer_view(daemon, incarnation, &view, self.now());
+        views.apply_peer_view(daemon, incarnation, &view, self.now());
     }
 
     /// Lays open how `demand` would be placed, without placing it.
     #[must_use]
-    pub fn explain(&self, demand: &Demand) -> Explanation {
+    pub fn explain(&self, demand: &PlacementRequest) -> Explanation {
         let decided = self.weigh(demand, &[], |model, weighed, choice| {
             let considered = weighed
                 .iter()
-                .map(|weighed| Considered::of(&model.order[weighed.index], weighed, choice));
+                .map(|weighed| CandidateEngine::of(&model.order[weighed.index], weighed, choice));
             considered.collect()
         });
         let (choice, considered) = match decided {
@@ -221,7 +225,11 @@
         self.views.borrow().engines.get(instance).cloned()
     }
 
-    fn decide(&self, demand: &Demand, excluded: &[InstanceId]) -> Result<Choice, NoEngine> {
+    fn decide(
+        &self,
+        demand: &PlacementRequest,
+        excluded: &[InstanceId],
+    ) -> Result<Choice, NoEngine> {
         let (choice, ()) = self.weigh(demand, excluded, |_, _, _| ())?;
         choice
     }
@@ -229,7 +237,7 @@
     /// Decides on `demand` and has `look` see what the decision was made from.
     fn weigh<T>(
         &self,
-        demand: &Demand,
+        demand: &PlacementRequest,
         excluded: &[InstanceId],
         look: impl FnOnce(&Model, &[Weighed], &Result<Choice, NoEngine>) -> T,
     ) -> Result<(Result<Choice, NoEngine>, T), NoEngine> {
@@ -258,13 +266,13 @@
 }
 
 /// Expected length of the answer, in tokens.
-fn answer_tokens(model: &Model, demand: &Demand) -> f64 {
+fn answer_tokens(model: &Model, demand: &PlacementRequest) -> f64 {
     let learned = model.learned.borrow();
     let share = learned.answer_share.upper(ANSWER_DEVIATIONS).unwrap_or(1.0);
     (f64::from(demand.max_tokens) * share.min(1.0)).max(1.0)
 }
 
-fn count_demand(model: &mut Model, demand: &Demand, choice: &Choice, now: Instant) {
+fn count_demand(model: &mut Model, demand: &PlacementRequest, choice: &Choice, now: Instant) {
     let uncached_tokens = choice.terms.uncached_tokens;
     let prefill_tokens = if choice.group.is_empty() {
         uncached_tokens
--- a/crates/placement/src/view.rs
+++ b/crates/placement/src/view.rs
@@ -56,7 +56,7 @@
     }
 
     /// Takes in a peer's view.
-    pub(crate) fn peer_view(
+    pub(crate) fn apply_peer_view(
         &mut self,
         daemon: &InstanceId,
         incarnation: Incarnation,
--- a/crates/placement/tests/faults.rs
+++ b/crates/placement/tests/faults.rs
@@ -14,7 +14,7 @@
     for _ in 0..5 {
         fleet
             .placement
-            .outcome(&format!("engine-{index}"), EngineOutcome::Error);
+            .record_outcome(&format!("engine-{index}"), EngineOutcome::Error);
     }
 }
 
@@ -40,14 +40,16 @@
     fleet.placement.set_engines(listed);
     let mut leaving = report(2);
     leaving.state = EngineState::Leaving;
-    fleet.placement.report(&"engine-1".to_owned(), leaving);
+    fleet
+        .placement
+        .apply_load_report(&"engine-1".to_owned(), leaving);
     let held: Vec<_> = (0..50)
         .map(|_| fleet.placement.place(&fleet.demand(8_000), &[]).unwrap())
         .collect();
     assert!(held.iter().all(|placed| placed.instance == "engine-2"));
     fleet
         .placement
-        .outcome(&"engine-2".to_owned(), EngineOutcome::Leaving);
+        .record_outcome(&"engine-2".to_owned(), EngineOutcome::Leaving);
     let refused = fleet.placement.place(&fleet.demand(1_000), &[]);
     assert_eq!(refused.unwrap_err(), NoEngine::NoneUsable);
 }
@@ -56,9 +58,11 @@
 fn a_loading_engine_is_left_out_for_a_while() {
     let fleet = fleet(2);
     let loading = "engine-1".to_owned();
-    fleet.placement.outcome(&loading, EngineOutcome::Loading);
+    fleet
+        .placement
+        .record_outcome(&loading, EngineOutcome::Loading);
     // Its load report says nothing of it.
-    fleet.placement.report(&loading, report(2));
+    fleet.placement.apply_load_report(&loading, report(2));
     let held: Vec<_> = (0..20)
         .map(|_| fleet.placement.place(&fleet.demand(8_000), &[]).unwrap())
         .collect();
@@ -109,7 +113,7 @@
     assert!(held.iter().all(|placed| placed.instance != "engine-0"));
     fleet
         .placement
-        .outcome(&"engine-0".to_owned(), EngineOutcome::Success);
+        .record_outcome(&"engine-0".to_owned(), EngineOutcome::Success);
     drop(probe);
     fleet.clock.advance(Duration::from_secs(10));
     let more: Vec<_> = (0..30)
@@ -134,7 +138,7 @@
                 .unwrap();
             let taken_ms = if index == 3 { 8_000 } else { 800 };
             fleet.clock.advance(Duration::from_millis(taken_ms));
-            placed.first_token();
+            placed.record_first_token();
         }
     }
     let status = fleet.placement.status();
@@ -151,7 +155,9 @@
 fn unreachable_engines_are_avoided_unless_all_are() {
     let fleet = fleet(2);
     for _ in 0..3 {
-        fleet.placement.report_failed(&"engine-0".to_owned());
+        fleet
+            .placement
+            .record_report_failure(&"engine-0".to_owned());
     }
     let chosen = || {
         fleet
@@ -161,13 +167,19 @@
             .unwrap()
     };
     assert_eq!(chosen(), "engine-1");
-    fleet.placement.report(&"engine-0".to_owned(), report(2));
+    fleet
+        .placement
+        .apply_load_report(&"engine-0".to_owned(), report(2));
     for _ in 0..3 {
-        fleet.placement.report_failed(&"engine-1".to_owned());
+        fleet
+            .placement
+            .record_report_failure(&"engine-1".to_owned());
     }
     assert_eq!(chosen(), "engine-0");
     for _ in 0..3 {
-        fleet.placement.report_failed(&"engine-0".to_owned());
+        fleet
+            .placement
+            .record_report_failure(&"engine-0".to_owned());
     }
     assert!(fleet.placement.place(&fleet.demand(1_000), &[]).is_ok());
 }
@@ -179,7 +191,7 @@
     let blocks: Vec<u64> = (1..=100).collect();
     let stored = |next, sequence, blocks: &[u64]| {
         let events = events(next, sequence, CacheEventKind::Stored, blocks);
-        fleet.placement.cache_events(&engine, events)
+        fleet.placement.apply_cache_events(&engine, events)
     };
     assert_eq!(stored(6, 5, &blocks[..10]), CacheSync::NeedsSnapshot);
     let snapshot = CacheSnapshot {
@@ -190,7 +202,7 @@
             .map(|block| format!("{block:016x}"))
             .collect(),
     };
-    fleet.placement.cache_snapshot(&engine, snapshot);
+    fleet.placement.apply_cache_snapshot(&engine, snapshot);
     let in_sync = CacheSync::InSync { next_sequence: 7 };
     assert_eq!(stored(7, 6, &blocks[60..80]), in_sync);
     assert_eq!(stored(7, 6, &blocks[60..80]), in_sync, "repeated");
@@ -215,7 +227,7 @@
         incarnation: 2,
         ..events(1, 0, CacheEventKind::Evicted, &[])
     };
-    let sync = fleet.placement.cache_events(&engine, later_life);
+    let sync = fleet.placement.apply_cache_events(&engine, later_life);
     assert_eq!(sync, CacheSync::NeedsSnapshot);
     assert_eq!(fleet.status(&engine).cached_blocks, 0);
 }
@@ -256,12 +268,14 @@
 #[test]
 fn the_reason_for_each_engine_is_told() {
     let fleet = fleet(4);
-    fleet.placement.report_failed(&"engine-1".to_owned());
+    fleet
+        .placement
+        .record_report_failure(&"engine-1".to_owned());
     let mut listed = engines(4);
     listed[2].leaving = true;
     fleet.placement.set_engines(listed);
     fleet
         .placement
-        .outcome(&"engine-3".to_owned(), EngineOutcome::Busy);
+        .record_outcome(&"engine-3".to_owned(), EngineOutcome::Busy);
     insta::assert_json_snapshot!(fleet.placement.explain(&fleet.demand(10_000)));
 }
--- a/crates/placement/tests/lengths.rs
+++ b/crates/placement/tests/lengths.rs
@@ -48,7 +48,7 @@
                 "met a long one"
             );
             short.push(position(&placed.instance));
-            placed.first_token();
+            placed.record_first_token();
         }
     }
     long.sort_unstable();
@@ -80,7 +80,7 @@
     let _ = mean_position(&one, 200_000, 40);
     other
         .placement
-        .peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
+        .apply_peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
     let after = mean_position(&other, 4_000, 1);
     assert!(after < before - 0.1, "{before} to {after}");
 }
--- a/crates/placement/tests/load.rs
+++ b/crates/placement/tests/load.rs
@@ -5,17 +5,17 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use mangofront_placement::{Clock, Placed, Policy};
+use mangofront_placement::{Clock, PlacedRequest, Policy};
 use support::{Fleet, daemon, fleet, report};
 
-fn place(fleet: &Fleet, count: usize) -> Vec<Placed> {
+fn place(fleet: &Fleet, count: usize) -> Vec<PlacedRequest> {
     let demand = fleet.demand(8_000);
     (0..count)
         .map(|_| fleet.placement.place(&demand, &[]).expect("place"))
         .collect()
 }
 
-fn most_on_one(placed: &[Placed]) -> usize {
+fn most_on_one(placed: &[PlacedRequest]) -> usize {
     let mut counts = BTreeMap::new();
     for placed in placed {
         *counts.entry(placed.instance.clone()).or_insert(0) += 1;
@@ -29,7 +29,9 @@
     for index in 1..8 {
         let mut busy = report(2);
         busy.waiting_prefill_tokens = 10_000;
-        fleet.placement.report(&format!("engine-{index}"), busy);
+        fleet
+            .placement
+            .apply_load_report(&format!("engine-{index}"), busy);
     }
     // The report of engine-0 says "idle" all the while.
     let held = place(&fleet, 24);
@@ -45,7 +47,9 @@
     let mut lagging = report(2);
     lagging.age_ms = 1_000;
     lagging.waiting_prefill_tokens = 4_000;
-    fleet.placement.report(&"engine-0".to_owned(), lagging);
+    fleet
+        .placement
+        .apply_load_report(&"engine-0".to_owned(), lagging);
     assert_eq!(fleet.status("engine-0").since_report_tokens, 0);
     // 4,000 tokens a second ago are nothing now, so only the new prompt counts.
     let queue = fleet
@@ -62,7 +66,9 @@
     let fleet = fleet(1);
     let mut busy = report(2);
     busy.waiting_prefill_tokens = 50_000;
-    fleet.placement.report(&"engine-0".to_owned(), busy);
+    fleet
+        .placement
+        .apply_load_report(&"engine-0".to_owned(), busy);
     let held = place(&fleet, 1);
     let queue = || {
         fleet
@@ -94,7 +100,7 @@
     };
     other
         .placement
-        .peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
+        .apply_peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
     assert_eq!(queue().as_millis(), 4_000, "told by the peer");
     clock.advance(Duration::from_millis(1));
     let mut busy = report(2);
@@ -102,11 +108,11 @@
     for daemon in [&one, &other] {
         daemon
             .placement
-            .report(&"engine-0".to_owned(), busy.clone());
+            .apply_load_report(&"engine-0".to_owned(), busy.clone());
     }
     other
         .placement
-        .peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
+        .apply_peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
     assert_eq!(queue().as_millis(), 4_000, "told by both");
     drop(held);
 }
@@ -119,7 +125,7 @@
     let held = place(&one, 5);
     other
         .placement
-        .peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
+        .apply_peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
     clock.advance(Duration::from_secs(1));
     let queue = other
         .placement
@@ -142,12 +148,12 @@
     for daemon in [&one, &other] {
         daemon
             .placement
-            .report(&"engine-0".to_owned(), busy.clone());
+            .apply_load_report(&"engine-0".to_owned(), busy.clone());
     }
     let peers = place(&one, 5);
     other
         .placement
-        .peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
+        .apply_peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
     // 60,000 of the long prompt and 40,000 of the peer's are left.
     let queue = |demand| other.placement.estimate(&demand).unwrap().queue.as_millis();
     assert_eq!(queue(other.patient(100_000)), 10_000);
@@ -184,7 +190,7 @@
     for _ in 0..20 {
         let mut placed = fleet.placement.place(&fleet.demand(1_000), &[]).unwrap();
         fleet.clock.advance(Duration::from_millis(300));
-        placed.first_token();
+        placed.record_first_token();
     }
     assert!(
         (290..=310).contains(&first_token_ms()),
@@ -210,7 +216,7 @@
             let name = format!("entry-{index}");
             other
                 .placement
-                .peer_view(&name, 1, one.placement.own_view());
+                .apply_peer_view(&name, 1, one.placement.own_view());
         }
     }
     assert!(most_on_one(&held) <= 3, "{}", most_on_one(&held));
@@ -224,15 +230,15 @@
     let peer = "entry-1".to_owned();
     let held = place(&one, 2);
     let first = one.placement.own_view();
-    other.placement.peer_view(&peer, 7, first.clone());
+    other.placement.apply_peer_view(&peer, 7, first.clone());
     assert_eq!(other.status("engine-0").peers_waiting_tokens, 16_000);
     drop(held);
     other
         .placement
-        .peer_view(&peer, 7, one.placement.own_view());
-    other.placement.peer_view(&peer, 7, first.clone());
+        .apply_peer_view(&peer, 7, one.placement.own_view());
+    other.placement.apply_peer_view(&peer, 7, first.clone());
     assert_eq!(other.status("engine-0").peers_waiting_tokens, 0, "old view");
-    other.placement.peer_view(&peer, 8, first);
+    other.placement.apply_peer_view(&peer, 8, first);
     assert_eq!(other.status("engine-0").peers_outstanding, 2, "later life");
     clock.advance(Duration::from_secs(11));
     let _ = other.placement.estimate(&other.demand(1_000));
@@ -249,7 +255,7 @@
     let nonsense = vec![0xFF; 600].into();
     fleet
         .placement
-        .peer_view(&"entry-9".to_owned(), 1, nonsense);
+        .apply_peer_view(&"entry-9".to_owned(), 1, nonsense);
     assert_eq!(fleet.placement.status().peers, 0);
     drop(held);
 }
@@ -266,7 +272,9 @@
         nonsense.kv_total_tokens = u64::MAX;
         nonsense.age_ms = u64::MAX;
         nonsense.waiting = u32::MAX;
-        fleet.placement.report(&"engine-0".to_owned(), nonsense);
+        fleet
+            .placement
+            .apply_load_report(&"engine-0".to_owned(), nonsense);
         let estimate = fleet.placement.estimate(&fleet.demand(1_000)).unwrap();
         assert!(estimate.time_to_first_token < Duration::from_secs(1));
     }
@@ -288,7 +296,7 @@
             // 50 ms and 4,000 tokens a second.
             let taken = Duration::from_millis(50 + length_tokens / 4);
             fleet.clock.advance(taken);
-            placed.first_token();
+            placed.record_first_token();
         }
     }
     let short = fleet.placement.estimate(&fleet.patient(1_000)).unwrap();
@@ -319,7 +327,7 @@
         if views.last() != Some(&view) {
             views.push(view.clone());
         }
-        other.placement.peer_view(&peer, 1, view);
+        other.placement.apply_peer_view(&peer, 1, view);
         assert_eq!(other.status("engine-0").peers_outstanding, 2, "kept");
     }
     assert!(views.len() >= 10, "refreshed {} times", views.len());
--- a/crates/placement/tests/sequences.rs
+++ b/crates/placement/tests/sequences.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use mangofront_placement::{EngineOutcome, Placed};
+use mangofront_placement::{EngineOutcome, PlacedRequest};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use support::{engines, fleet, report};
 
@@ -47,14 +47,14 @@
 
 fn counters_return_to_zero(steps: Vec<Step>) -> bool {
     let fleet = fleet(6);
-    let mut held: Vec<Placed> = Vec::new();
+    let mut held: Vec<PlacedRequest> = Vec::new();
     for (number, step) in steps.into_iter().enumerate() {
         match step {
             Step::Place(length_tokens) => {
                 held.extend(fleet.placement.place(&fleet.patient(length_tokens), &[]));
             }
             Step::FirstToken(index) => {
-                held.get_mut(index).map(Placed::first_token);
+                held.get_mut(index).map(PlacedRequest::record_first_token);
             }
             Step::Drop(index) if index < held.len() => drop(held.swap_remove(index)),
             Step::Drop(_) => {}
@@ -62,15 +62,21 @@
                 let mut report = report(number as u64 + 2);
                 report.age_ms = age_ms;
                 report.waiting_prefill_tokens = waiting_prefill_tokens;
-                fleet.placement.report(&format!("engine-{index}"), report);
+                fleet
+                    .placement
+                    .apply_load_report(&format!("engine-{index}"), report);
             }
             Step::Outcome(index, outcome) => {
-                fleet.placement.outcome(&format!("engine-{index}"), outcome);
+                fleet
+                    .placement
+                    .record_outcome(&format!("engine-{index}"), outcome);
             }
             Step::List(count) => fleet.placement.set_engines(engines(count)),
             Step::Peer(view) => {
                 let peer = "entry-2".to_owned();
-                fleet.placement.peer_view(&peer, number as u64, view.into());
+                fleet
+                    .placement
+                    .apply_peer_view(&peer, number as u64, view.into());
             }
             Step::Wait(wait_ms) => fleet.clock.advance(Duration::from_millis(wait_ms)),
         }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use mangofront_placement::{
-    Clock, Demand, EngineInfo, EngineRole, EngineState, EngineStatus, LoadReport, Placement,
-    PlacementOptions, Policy,
+    Clock, EngineInfo, EngineRole, EngineState, EngineStatus, LoadReport, Placement,
+    PlacementOptions, PlacementRequest, Policy,
 };
 
 pub const MODEL: &str = "assist-llm";
@@ -35,7 +35,7 @@
     let placement = Placement::new(options);
     placement.set_engines(engines(count));
     for index in 0..count {
-        placement.report(&format!("engine-{index}"), report(1));
+        placement.apply_load_report(&format!("engine-{index}"), report(1));
     }
     let start = clock.now();
     Fleet {
@@ -79,8 +79,8 @@
 
 impl Fleet {
     /// A request of a class that starts within two seconds and ends within a minute.
-    pub fn demand(&self, length_tokens: u64) -> Demand {
-        Demand {
+    pub fn demand(&self, length_tokens: u64) -> PlacementRequest {
+        PlacementRequest {
             model: MODEL.to_owned(),
             length_tokens,
             max_tokens: 64,
@@ -91,8 +91,8 @@
     }
 
     /// A request of a class that starts within minutes.
-    pub fn patient(&self, length_tokens: u64) -> Demand {
-        Demand {
+    pub fn patient(&self, length_tokens: u64) -> PlacementRequest {
+        PlacementRequest {
             time_to_first_token: Duration::from_secs(300),
             deadline: self.clock.now() + Duration::from_secs(600),
             ..self.demand(length_tokens)
