--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -8,7 +8,7 @@
 use futures_util::future::LocalBoxFuture;
 use mangofront_audit::{AuditEvent, AuditLog};
 use mangofront_configuration::{AcceptedInstances, Platform};
-use mangofront_once::{Exchange, ExchangeError, Once, Voter, VoterView};
+use mangofront_once::{ListedInstance, Once, Transport, TransportError, VoterView};
 use mangofront_peers::{
     CallError, ListedPeer, MemberChange, MemberState, Peers, PeersOptions, PeersOptionsBuilder,
     Responder, Service,
@@ -136,12 +136,12 @@
     })
 }
 
-fn voter(region: &str, instance: &Instance) -> Option<Voter> {
+fn voter(region: &str, instance: &Instance) -> Option<ListedInstance> {
     let InstanceRole::Entry { .. } = &instance.role else {
         return None;
     };
     let stays = instance.state == InstanceState::Live && instance.region == region;
-    stays.then(|| Voter {
+    stays.then(|| ListedInstance {
         instance: instance.instance.clone(),
         availability_zone: instance.availability_zone.clone(),
     })
@@ -151,13 +151,13 @@
 #[derive(Debug)]
 pub(crate) struct PeerExchange(pub(crate) Peers);
 
-impl Exchange for PeerExchange {
+impl Transport for PeerExchange {
     fn call(
         &self,
         to: &InstanceId,
         request: Bytes,
         timeout: Duration,
-    ) -> LocalBoxFuture<'static, Result<Bytes, ExchangeError>> {
+    ) -> LocalBoxFuture<'static, Result<Bytes, TransportError>> {
         let peers = self.0.clone();
         let to = to.clone();
         async move {
@@ -168,8 +168,8 @@
     }
 }
 
-fn exchange_error(peer: InstanceId, error: &CallError) -> ExchangeError {
-    ExchangeError {
+fn exchange_error(peer: InstanceId, error: &CallError) -> TransportError {
+    TransportError {
         step: "call",
         peer,
         reason: error.to_string(),
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -81,7 +81,7 @@
         .filter(|instance| instance.region == *region)
         .filter_map(engine);
     Some(OrdersView {
-        own: parts.settings.instance.clone(),
+        own_instance: parts.settings.instance.clone(),
         incarnation: parts.peers.incarnation(),
         daemons: daemons.collect(),
         engines: engines.collect(),
--- a/crates/once/examples/embed.rs
+++ b/crates/once/examples/embed.rs
@@ -8,22 +8,22 @@
 use bytes::Bytes;
 use futures_util::future::LocalBoxFuture;
 use mangofront_once::{
-    Answer, Decision, Exchange, ExchangeError, Fingerprint, Once, OnceOptions, Order, RunOutcome,
-    RunPermit, Voter, VoterView,
+    Answer, Decision, Fingerprint, ListedInstance, Once, OnceOptions, Order, RunOutcome, RunPermit,
+    Transport, TransportError, VoterView,
 };
 use mangofront_settings::ids::InstanceId;
 
 /// There is nobody else to call.
 struct Nobody;
 
-impl Exchange for Nobody {
+impl Transport for Nobody {
     fn call(
         &self,
         to: &InstanceId,
         _request: Bytes,
         _timeout: Duration,
-    ) -> LocalBoxFuture<'static, Result<Bytes, ExchangeError>> {
-        let error = ExchangeError {
+    ) -> LocalBoxFuture<'static, Result<Bytes, TransportError>> {
+        let error = TransportError {
             step: "call",
             peer: to.clone(),
             reason: "no such peer".to_owned(),
@@ -56,7 +56,7 @@
     let once = Once::new(options, Rc::new(Nobody));
     once.set_view(&VoterView {
         list_revision: 1,
-        listed: vec![Voter {
+        listed: vec![ListedInstance {
             instance: "entry-1".to_owned(),
             availability_zone: "hall-a".to_owned(),
         }],
--- a/crates/once/src/core.rs
+++ b/crates/once/src/core.rs
@@ -11,12 +11,12 @@
 use mangofront_settings::published::Idempotency;
 
 use crate::claims::Claims;
-use crate::exchange::{Exchange, ExchangeError};
 use crate::message::{Reply, Request, encode};
 use crate::mint::{Archives, Keep, Mint};
 use crate::options::OnceOptions;
 use crate::seat::Seat;
 use crate::status::Counters;
+use crate::transport::{Transport, TransportError};
 use crate::view::{VoterSet, VoterView};
 use crate::voting_rules::VotingRules;
 
@@ -26,7 +26,7 @@
 
 pub(crate) struct Core {
     pub(crate) options: OnceOptions,
-    pub(crate) exchange: Rc<dyn Exchange>,
+    pub(crate) exchange: Rc<dyn Transport>,
     pub(crate) claims: Rc<RefCell<Claims>>,
     pub(crate) state: RefCell<State>,
     /// Messages about ended claims that are still on their way.
@@ -79,7 +79,7 @@
 }
 
 impl Core {
-    pub(crate) fn new(options: OnceOptions, exchange: Rc<dyn Exchange>) -> Self {
+    pub(crate) fn new(options: OnceOptions, exchange: Rc<dyn Transport>) -> Self {
         let claims = Claims::new(options.process.clone(), options.max_records);
         let state = State {
             seat: Seat::new(&options),
@@ -159,7 +159,7 @@
         self: &Rc<Self>,
         to: &InstanceId,
         request: &Request,
-    ) -> Result<Reply, ExchangeError> {
+    ) -> Result<Reply, TransportError> {
         if self.is_me(to) {
             return Ok(self.answer(to, request.clone()));
         }
@@ -167,7 +167,7 @@
         let bytes = Bytes::from(encode(request));
         let call = self.exchange.call(to, bytes, timeout);
         let called = compio::time::timeout(timeout, call).await;
-        let failed = |reason: String| ExchangeError {
+        let failed = |reason: String| TransportError {
             step: "call",
             peer: to.clone(),
             reason,
--- a/crates/once/src/gather.rs
+++ b/crates/once/src/gather.rs
@@ -12,7 +12,6 @@
 use mangofront_settings::ids::InstanceId;
 
 use crate::core::Core;
-use crate::exchange::ExchangeError;
 use crate::fence::counted;
 use crate::ids::ClaimId;
 use crate::key::{Fingerprint, OrderKey};
@@ -20,6 +19,7 @@
 use crate::open_claim::OpenClaim;
 use crate::options::Weakness;
 use crate::outcome::{NotRunReason, OrderError, Record, UnknownReason};
+use crate::transport::TransportError;
 use crate::view::{VoterSet, rendezvous};
 
 /// What gathering came to.
@@ -134,7 +134,7 @@
         subject: &Subject,
         tally: &mut Tally,
         voter: InstanceId,
-        replied: Result<Reply, ExchangeError>,
+        replied: Result<Reply, TransportError>,
     ) -> Option<Gathered> {
         let refusal = match replied {
             Ok(Reply::Granted(grant)) if grant.voter.instance == voter => {
@@ -202,7 +202,7 @@
         decider: Decider,
         claim: &ClaimId,
         voter: &InstanceId,
-    ) -> Result<ClaimAnswer, ExchangeError> {
+    ) -> Result<ClaimAnswer, TransportError> {
         let request = Request::Ask {
             order: subject.order.clone(),
             decider,
@@ -211,7 +211,7 @@
         };
         match self.call(&claim.process.instance, &request).await? {
             Reply::Claim(answer) => Ok(answer),
-            other => Err(ExchangeError {
+            other => Err(TransportError {
                 step: "ask about a claim",
                 peer: claim.process.instance.clone(),
                 reason: format!("unexpected reply {other:?}"),
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -27,7 +27,7 @@
 //! than the whole window, with a caller that reuses the key after it: see
 //! `docs/design/at-most-once.md`, which also weighs other ways.
 //!
-//! Neighbours: the daemon implements [`Exchange`] over its links, feeds
+//! Neighbours: the daemon implements [`Transport`] over its links, feeds
 //! [`Once::set_view`] from the platform's list and [`Once::set_rules`] from the
 //! configuration, spawns [`Once::maintain`], and sends an order only with the
 //! [`Begun`] that its [`RunPermit`] gives.
@@ -36,7 +36,6 @@
 mod ballots;
 mod claims;
 mod core;
-mod exchange;
 mod execute;
 mod fence;
 mod gather;
@@ -53,11 +52,11 @@
 mod seat;
 mod status;
 mod synchronise;
+mod transport;
 pub mod view;
 mod voting_rules;
 
 pub use crate::claims::{BeginError, Begun, RunPermit};
-pub use crate::exchange::{Exchange, ExchangeError};
 pub use crate::execute::Order;
 pub use crate::hand_over::HandOverReport;
 pub use crate::ids::{ClaimId, Process};
@@ -70,4 +69,5 @@
     Answer, Decision, NotRunReason, OrderError, RunOutcome, StoredBody, UnknownReason,
 };
 pub use crate::status::{Counters, Status};
-pub use crate::view::{Voter, VoterView};
+pub use crate::transport::{Transport, TransportError};
+pub use crate::view::{ListedInstance, VoterView};
--- a/crates/once/src/once.rs
+++ b/crates/once/src/once.rs
@@ -11,13 +11,13 @@
 
 use crate::claims::RunPermit;
 use crate::core::Core;
-use crate::exchange::Exchange;
 use crate::execute::Order;
 use crate::hand_over::HandOverReport;
 use crate::message::{Reply, encode};
 use crate::options::OnceOptions;
 use crate::outcome::{Decision, RunOutcome};
 use crate::status::{Counters, Status};
+use crate::transport::Transport;
 use crate::view::VoterView;
 
 /// At-most-once execution of one process; clones share their state.
@@ -37,7 +37,7 @@
     /// It takes no part in votes before [`Once::set_view`] and while nothing
     /// polls [`Once::maintain`].
     #[must_use]
-    pub fn new(options: OnceOptions, exchange: Rc<dyn Exchange>) -> Self {
+    pub fn new(options: OnceOptions, exchange: Rc<dyn Transport>) -> Self {
         let core = Rc::new(Core::new(options, exchange));
         Self { core }
     }
--- a/crates/once/src/exchange.rs
+++ b/crates/once/src/transport.rs
@@ -11,20 +11,20 @@
 ///
 /// A call may be lost, delayed or delivered twice; it must not be delivered to
 /// another instance than the one named.
-pub trait Exchange {
+pub trait Transport {
     /// Sends `request` to the daemon on `to` and waits for its reply.
     fn call(
         &self,
         to: &InstanceId,
         request: Bytes,
         timeout: Duration,
-    ) -> LocalBoxFuture<'static, Result<Bytes, ExchangeError>>;
+    ) -> LocalBoxFuture<'static, Result<Bytes, TransportError>>;
 }
 
 /// A call without a reply; the peer may have handled it all the same.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{step} with {peer}: {reason}")]
-pub struct ExchangeError {
+pub struct TransportError {
     /// Step that failed.
     pub step: &'static str,
     /// Who was called.
--- a/crates/once/src/view.rs
+++ b/crates/once/src/view.rs
@@ -19,7 +19,7 @@
 
 /// One listed entry instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Voter {
+pub struct ListedInstance {
     /// Its name.
     pub instance: InstanceId,
     /// Where it stands.
@@ -32,7 +32,7 @@
     /// Revision of the list; higher is newer.
     pub list_revision: Revision,
     /// Live entry instances; those that leave are left out.
-    pub listed: Vec<Voter>,
+    pub listed: Vec<ListedInstance>,
 }
 
 /// Voters under one revision of the list.
@@ -65,7 +65,7 @@
     }
 }
 
-fn choose(listed: &[Voter]) -> Vec<InstanceId> {
+fn choose(listed: &[ListedInstance]) -> Vec<InstanceId> {
     let mut by_zone: BTreeMap<&str, Vec<(u64, &str)>> = BTreeMap::new();
     for voter in listed {
         let score = score(&voter.instance, VOTER_SEED);
--- a/crates/once/tests/fleet/mod.rs
+++ b/crates/once/tests/fleet/mod.rs
@@ -80,13 +80,13 @@
     alive: Rc<Cell<bool>>,
 }
 
-impl Exchange for Edge {
+impl Transport for Edge {
     fn call(
         &self,
         to: &InstanceId,
         request: Bytes,
         _timeout: Duration,
-    ) -> LocalBoxFuture<'static, Result<Bytes, ExchangeError>> {
+    ) -> LocalBoxFuture<'static, Result<Bytes, TransportError>> {
         let (sender, receiver) = oneshot::channel();
         let net = Rc::clone(&self.net);
         let me = self.me.clone();
@@ -279,7 +279,7 @@
 
     /// Gives daemons `to` the list `revision` of daemons `listed`.
     pub fn list(&self, revision: u64, listed: &[usize], to: &[usize]) {
-        let voters = listed.iter().map(|number| Voter {
+        let voters = listed.iter().map(|number| ListedInstance {
             instance: name(*number),
             availability_zone: format!("hall-{}", number % 3),
         });
--- a/crates/once/tests/reading.rs
+++ b/crates/once/tests/reading.rs
@@ -7,20 +7,20 @@
 use bytes::Bytes;
 use futures_util::FutureExt;
 use futures_util::future::LocalBoxFuture;
-use mangofront_once::{Exchange, ExchangeError, Once, OnceOptions, Voter, VoterView};
+use mangofront_once::{ListedInstance, Once, OnceOptions, Transport, TransportError, VoterView};
 use mangofront_settings::ids::InstanceId;
 
 /// Counts the calls to voters that answer nothing of use.
 #[derive(Debug, Default)]
 struct Vain(Cell<u32>);
 
-impl Exchange for Vain {
+impl Transport for Vain {
     fn call(
         &self,
         _to: &InstanceId,
         _request: Bytes,
         _timeout: Duration,
-    ) -> LocalBoxFuture<'static, Result<Bytes, ExchangeError>> {
+    ) -> LocalBoxFuture<'static, Result<Bytes, TransportError>> {
         self.0.set(self.0.get() + 1);
         async { Ok(Bytes::new()) }.boxed_local()
     }
@@ -30,9 +30,9 @@
 async fn vain_readings_grow_rare() {
     let exchange = Rc::new(Vain::default());
     let options = OnceOptions::new("entry-0".to_owned(), 1).poll_interval(Duration::from_millis(2));
-    let carried: Rc<dyn Exchange> = Rc::<Vain>::clone(&exchange);
+    let carried: Rc<dyn Transport> = Rc::<Vain>::clone(&exchange);
     let once = Once::new(options, carried);
-    let voter = |number: u32| Voter {
+    let voter = |number: u32| ListedInstance {
         instance: format!("entry-{number}"),
         availability_zone: "hall-a".to_owned(),
     };
--- a/crates/orders/examples/embed.rs
+++ b/crates/orders/examples/embed.rs
@@ -68,7 +68,7 @@
         adapters: vec!["toner".to_owned()],
     };
     OrdersView {
-        own: "entry-0".to_owned(),
+        own_instance: "entry-0".to_owned(),
         incarnation: 1,
         daemons: vec![OrdersDaemon {
             instance: "entry-0".to_owned(),
--- a/crates/orders/src/orders.rs
+++ b/crates/orders/src/orders.rs
@@ -106,7 +106,8 @@
 fn own_engines(view: &OrdersView) -> Vec<&InstanceId> {
     let stays = view.engines.iter().filter(|engine| !engine.leaving);
     let published = stays.filter(|engine| view.models.contains_key(&engine.model));
-    let own = published.filter(|engine| responsible(&view.daemons, engine) == Some(&view.own));
+    let own =
+        published.filter(|engine| responsible(&view.daemons, engine) == Some(&view.own_instance));
     own.map(|engine| &engine.instance).collect()
 }
 
--- a/crates/orders/src/shared.rs
+++ b/crates/orders/src/shared.rs
@@ -61,7 +61,7 @@
         };
         let own = view.engine(engine).and_then(|engine| {
             let first = responsible(&view.daemons, engine)?;
-            (*first == view.own && !engine.leaving).then_some(())
+            (*first == view.own_instance && !engine.leaving).then_some(())
         });
         own.is_some() && view.revision == revision && read_at.age() < self.options.view_lease
     }
--- a/crates/orders/src/view.rs
+++ b/crates/orders/src/view.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct OrdersView {
     /// Instance of this daemon.
-    pub own: InstanceId,
+    pub own_instance: InstanceId,
     /// Life of this daemon's process.
     pub incarnation: Incarnation,
     /// Daemons that are alive and stay, this one included.
--- a/crates/orders/tests/support/mod.rs
+++ b/crates/orders/tests/support/mod.rs
@@ -185,7 +185,7 @@
 
     fn own_view(&self, view: &OrdersView) -> OrdersView {
         OrdersView {
-            own: self.name.clone(),
+            own_instance: self.name.clone(),
             incarnation: self.incarnation,
             ..view.clone()
         }
@@ -228,7 +228,7 @@
         availability_zone: "hall-a".to_owned(),
     });
     OrdersView {
-        own: String::new(),
+        own_instance: String::new(),
         incarnation: 0,
         daemons: daemons.collect(),
         engines: engines.collect(),
