--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -3,7 +3,7 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-use mangofront_gateway::SharingError;
+use mangofront_gateway::StateExchangeError;
 use mangofront_http::ClientError;
 use mangofront_peers::PeersError;
 use mangofront_settings::check::SettingsError;
@@ -37,7 +37,7 @@
     Peers(#[from] PeersError),
     /// News between daemons could not be listened for.
     #[error(transparent)]
-    Sharing(#[from] SharingError),
+    StateExchange(#[from] StateExchangeError),
     /// Metrics could not be set up.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
@@ -65,7 +65,7 @@
         match self {
             Self::Listen { cause, .. } => cause.kind() == ErrorKind::AddrInUse,
             Self::Peers(error) => error.is_address_in_use(),
-            Self::Sharing(error) => error.is_address_in_use(),
+            Self::StateExchange(error) => error.is_address_in_use(),
             Self::Help
             | Self::Arguments(_)
             | Self::Settings(_)
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -16,8 +16,8 @@
 use mangofront_adapter::{HeaderDialect, StoreClient};
 use mangofront_engines::Upstreams;
 use mangofront_gateway::{
-    Gateway, GatewayOptions, GatewayParts, Published, PublishedOptions, SecondSendLimit, Sharing,
-    SharingOptions,
+    Gateway, GatewayOptions, GatewayParts, Published, PublishedOptions, RetryLimit, StateExchange,
+    StateExchangeOptions,
 };
 use mangofront_http::{Body, ServeLimits, Shutdown, empty, serve};
 use mangofront_peers::{ListedPeer, MemberChange, Peers, Responder, Service};
@@ -127,10 +127,10 @@
         connections.clone(),
     );
     let store = StoreClient::new(connections.clone(), settings.platform_address);
-    let sharing_cell: Rc<std::cell::OnceCell<Rc<Sharing>>> = Rc::default();
+    let sharing_cell: Rc<std::cell::OnceCell<Rc<StateExchange>>> = Rc::default();
     let start = async || start_peers(settings, own, &published, &sharing_cell);
     let peers = wait.listen(start).await?;
-    let sharing_options = SharingOptions {
+    let sharing_options = StateExchangeOptions {
         address: own.news_address,
         instance: settings.instance.clone(),
         zone,
@@ -138,7 +138,7 @@
     };
     let start = async || {
         let (options, peers) = (sharing_options.clone(), peers.clone());
-        let sharing = Sharing::start(options, peers, upstreams.clone(), published.clone());
+        let sharing = StateExchange::start(options, peers, upstreams.clone(), published.clone());
         Ok(sharing.await?)
     };
     let sharing = wait.listen(start).await?;
@@ -146,7 +146,7 @@
     let _ = sharing_cell.set(Rc::clone(&sharing));
     let options = GatewayOptions::builder(settings.instance.clone())
         .key_lease(own.key_lease())
-        .second_sends(SecondSendLimit {
+        .retry_limit(RetryLimit {
             ratio: own.second_send_ratio,
             slack: own.second_send_slack_requests,
             window: own.second_send_window(),
@@ -164,9 +164,9 @@
     });
     let background = vec![
         spawn(published.follow(Rc::new(store), Rc::clone(&sharing))),
-        spawn(Rc::clone(&sharing).tell(told)),
-        spawn(Rc::clone(&sharing).repeat()),
-        spawn(sharing.hear()),
+        spawn(Rc::clone(&sharing).broadcast(told)),
+        spawn(Rc::clone(&sharing).rebroadcast_running()),
+        spawn(sharing.receive()),
         spawn(gateway.clone().watch_zones()),
         spawn(lag::watch(metrics.clone())),
     ];
@@ -185,7 +185,7 @@
     settings: &DaemonSettings,
     own: &GatewaySettings,
     published: &Published,
-    sharing: &Rc<std::cell::OnceCell<Rc<Sharing>>>,
+    sharing: &Rc<std::cell::OnceCell<Rc<StateExchange>>>,
 ) -> Result<Peers, DaemonError> {
     let options = membership::options(settings)
         .capacity_percent(own.processor_percent())
@@ -194,13 +194,13 @@
     let on_change = Rc::new(move |change: MemberChange| {
         let member = &change.member;
         if let Some(sharing) = sharing.get().filter(|_| !member.state.answers()) {
-            sharing.gone(&member.instance);
+            sharing.remove_daemon(&member.instance);
         }
     });
     let published = published.clone();
     let responder: Responder = Rc::new(move |_from, service, request| {
         let answer = match service {
-            Service::Platform => published.answer_copy(&request),
+            Service::Platform => published.answer_copy_request(&request),
             Service::Once | Service::Placement => Bytes::new(),
         };
         async move { answer }.boxed_local()
@@ -238,7 +238,7 @@
 async fn drain(gateway: &Gateway, grace: Duration) {
     let started = Instant::now();
     log::info!(in_progress = gateway.in_progress(); "daemon: stopping");
-    gateway.stop();
+    gateway.begin_drain();
     let limit = grace.saturating_sub(STOP_MARGIN + CLOSING_TIME);
     while started.elapsed() < limit {
         if gateway.is_refusing() && gateway.in_progress() == 0 {
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -35,7 +35,9 @@
 
 /// Answers `call`.
 pub(crate) async fn answer(gateway: &Gateway, call: Rc<Call>) -> Response<Body> {
-    gateway.budget().request(&call.service, Instant::now());
+    gateway
+        .budget()
+        .record_request(&call.service, Instant::now());
     let mut unanswered = Unanswered::new(gateway, &call);
     let response = try_upstreams(gateway, &call, &mut unanswered.history).await;
     unanswered.is_answered = true;
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -16,7 +16,7 @@
 
 /// Limit on second sends.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SecondSendLimit {
+pub struct RetryLimit {
     /// Second sends for each request; 0.2 by default.
     pub ratio: f64,
     /// Second sends on top, of all daemons together; 100 by default.
@@ -25,7 +25,7 @@
     pub window: Duration,
 }
 
-impl Default for SecondSendLimit {
+impl Default for RetryLimit {
     fn default() -> Self {
         Self {
             ratio: 0.2,
@@ -37,8 +37,8 @@
 
 /// Second sends of this daemon.
 #[derive(Debug)]
-pub struct SecondSendBudget {
-    limit: SecondSendLimit,
+pub struct RetryBudget {
+    limit: RetryLimit,
     services: RefCell<HashMap<ServiceName, Sends>>,
 }
 
@@ -48,10 +48,10 @@
     second: VecDeque<Instant>,
 }
 
-impl SecondSendBudget {
+impl RetryBudget {
     /// Nothing was sent yet.
     #[must_use]
-    pub fn new(limit: SecondSendLimit) -> Self {
+    pub fn new(limit: RetryLimit) -> Self {
         Self {
             limit,
             services: RefCell::default(),
@@ -59,7 +59,7 @@
     }
 
     /// Notes a request for a service.
-    pub fn request(&self, service: &str, now: Instant) {
+    pub fn record_request(&self, service: &str, now: Instant) {
         let mut services = self.services.borrow_mut();
         let sends = entry(&mut services, service);
         sends.forget(self.limit.window, now);
@@ -67,7 +67,7 @@
     }
 
     /// Takes one second send, if `daemons` that share the limit leave room for it.
-    pub fn take(&self, service: &str, daemons: usize, now: Instant) -> bool {
+    pub fn try_take(&self, service: &str, daemons: usize, now: Instant) -> bool {
         let has_room = self.has_room(service, daemons, now);
         if has_room {
             let mut services = self.services.borrow_mut();
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -94,7 +94,7 @@
     };
     let mut response = match served {
         Ok((admitted, body)) => {
-            let patience = admitted.head.patience.unwrap_or(admitted.route.timeout);
+            let patience = admitted.head.timeout.unwrap_or(admitted.route.timeout);
             let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
             let organisation = admitted.organisation.as_ref();
             let organisation = organisation.map(|organisation| organisation.id.as_str());
--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -25,7 +25,7 @@
 use crate::provenance::Provenance;
 use crate::published::Published;
 use crate::published_options::{ASK_AGAIN_AFTER, ASK_TIMEOUT};
-use crate::sharing::{Circle, Sharing, Told};
+use crate::sharing::{Circle, StateExchange, Told};
 use crate::trace;
 
 /// Time for a whole copy; the source is read where it takes longer.
@@ -33,19 +33,19 @@
 
 impl Published {
     /// Has what is in force confirmed by other daemons, for ever.
-    pub(crate) async fn keep_confirmed(self, sharing: Rc<Sharing>) {
+    pub(crate) async fn keep_confirmed(self, sharing: Rc<StateExchange>) {
         loop {
             match self.is_confirmed_by_source(&sharing) {
                 true => self.0.is_alone.set(false),
                 false => self.ask(&sharing).await,
             }
-            self.0.ask_soon.wait(self.options().ask_period).await;
+            self.0.ask_soon.wait(self.options().query_period).await;
         }
     }
 
     /// Whether this daemon watches the source and is in touch with it.
-    fn is_confirmed_by_source(&self, sharing: &Sharing) -> bool {
-        sharing.is_watcher() && self.is_confirmed_within(self.options().told_age_limit)
+    fn is_confirmed_by_source(&self, sharing: &StateExchange) -> bool {
+        sharing.is_watcher() && self.is_confirmed_within(self.options().confirmation_age_limit)
     }
 
     fn is_confirmed_within(&self, time: Duration) -> bool {
@@ -53,7 +53,7 @@
     }
 
     /// Asks other daemons, those of the own zone that watch first.
-    async fn ask(&self, sharing: &Rc<Sharing>) {
+    async fn ask(&self, sharing: &Rc<StateExchange>) {
         let is_confirmed = self.ask_circle(sharing, Circle::Watchers).await
             || self.ask_circle(sharing, Circle::Fleet).await;
         let was_alone = self.0.is_alone.replace(!is_confirmed);
@@ -68,7 +68,7 @@
     }
 
     /// Asks some daemons at once; whether one that is in touch has answered.
-    async fn ask_circle(&self, sharing: &Rc<Sharing>, circle: Circle) -> bool {
+    async fn ask_circle(&self, sharing: &Rc<StateExchange>, circle: Circle) -> bool {
         let asked = BootInstant::now();
         let after = self.horizon().upstreams();
         let mut answers = sharing.ask(circle, after).await;
@@ -84,7 +84,7 @@
     }
 
     /// Takes in what another daemon knows; whether it is in touch.
-    fn take_answer(&self, sharing: &Rc<Sharing>, asked: BootInstant, told: Told) -> bool {
+    fn take_answer(&self, sharing: &Rc<StateExchange>, asked: BootInstant, told: Told) -> bool {
         let known = told.known;
         self.note_heard(known.answered);
         let has_changes = told.upstreams.is_some();
@@ -92,7 +92,7 @@
             let provenance = Provenance::answered(told.from.ip(), &known);
             self.take_upstreams(told_changes, &provenance);
         }
-        if known.age() >= self.options().told_age_limit {
+        if known.age() >= self.options().confirmation_age_limit {
             return false;
         }
         let has_configuration = self.version() >= known.configuration;
@@ -147,7 +147,7 @@
     }
 
     /// Begins to fetch a copy, unless one is being fetched.
-    fn fetch(&self, sharing: &Rc<Sharing>, from: &InstanceId, wanted: Wanted) {
+    fn fetch(&self, sharing: &Rc<StateExchange>, from: &InstanceId, wanted: Wanted) {
         if self.is_fetching(wanted).replace(true) {
             return;
         }
@@ -175,7 +175,7 @@
     }
 
     /// Fetches a copy from another daemon, part by part; whether it was taken in.
-    async fn fetch_copy(&self, sharing: &Sharing, from: &InstanceId, wanted: Wanted) -> bool {
+    async fn fetch_copy(&self, sharing: &StateExchange, from: &InstanceId, wanted: Wanted) -> bool {
         let mut partial = PartialCopy::default();
         while let Some(missing) = partial.missing(wanted) {
             let part = match sharing.fetch(from, missing).await {
--- a/crates/gateway/src/contact.rs
+++ b/crates/gateway/src/contact.rs
@@ -26,8 +26,8 @@
 
 /// Contact with the source, as far as this daemon and those that it hears know.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Contact {
-    answered: Option<Answered>,
+pub struct SourceAvailability {
+    answered: Option<AnsweredPeriod>,
     /// The last call failed, and nobody has told of a later answer.
     is_failing: bool,
     outage: Option<Outage>,
@@ -35,7 +35,7 @@
 
 /// A time in which the source answered without a break.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Answered {
+pub struct AnsweredPeriod {
     /// When the first of the answers was asked for.
     pub since: Instant,
     /// When the last one came.
@@ -51,22 +51,22 @@
     is_shared: bool,
 }
 
-impl Answered {
+impl AnsweredPeriod {
     fn goes_back_to(&self, moment: Instant) -> bool {
         self.since <= moment + ACCOUNT_TOLERANCE
     }
 }
 
-impl Contact {
+impl SourceAvailability {
     /// Notes that a call failed.
     ///
     /// Before the first answer nothing is known that could lapse.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.is_failing = self.answered.is_some();
     }
 
     /// Notes that the source answered at `now` a call of `asked`.
-    pub fn answered(&mut self, asked: Instant, now: Instant) {
+    pub fn record_answer(&mut self, asked: Instant, now: Instant) {
         let since = match self.answered {
             Some(before) if self.is_broken(before, asked) => {
                 let cut_off = asked.saturating_duration_since(before.until);
@@ -80,17 +80,17 @@
             Some(before) => before.since,
             None => asked,
         };
-        self.answered = Some(Answered { since, until: now });
+        self.answered = Some(AnsweredPeriod { since, until: now });
         self.is_failing = false;
     }
 
     /// Whether the source may have been away between the answers before and a call of `asked`.
-    fn is_broken(&self, before: Answered, asked: Instant) -> bool {
+    fn is_broken(&self, before: AnsweredPeriod, asked: Instant) -> bool {
         self.is_failing || asked > before.until + CALLS_TOLERANCE
     }
 
     /// Takes in at `now` what another daemon knows of the source's answers.
-    pub fn heard(&mut self, other: Answered, now: Instant) {
+    pub fn merge(&mut self, other: AnsweredPeriod, now: Instant) {
         let Some(own) = self.answered else {
             self.answered = Some(other);
             return;
@@ -113,12 +113,12 @@
             });
         }
         let until = other.until;
-        self.answered = Some(Answered { since, until });
+        self.answered = Some(AnsweredPeriod { since, until });
         self.is_failing = false;
     }
 
     /// Ends an outage sooner, or forgets it, where another daemon saw answers meanwhile.
-    fn correct_outage(&mut self, other: Answered) {
+    fn correct_outage(&mut self, other: AnsweredPeriod) {
         let Some(mut outage) = self.outage.filter(|outage| outage.is_shared) else {
             return;
         };
@@ -140,7 +140,7 @@
 
     /// The time in which the source last answered without a break.
     #[must_use]
-    pub fn last_answered(&self) -> Option<Answered> {
+    pub fn last_answered(&self) -> Option<AnsweredPeriod> {
         self.answered
     }
 
--- a/crates/gateway/src/datagram.rs
+++ b/crates/gateway/src/datagram.rs
@@ -7,9 +7,9 @@
 use mangofront_routes::{ConfigurationVersion, Upstream, UpstreamId};
 use serde::{Deserialize, Serialize};
 
-use crate::contact::Answered;
+use crate::contact::AnsweredPeriod;
 use crate::dialect::Position;
-use crate::registrations::{Record, Standing};
+use crate::registrations::{Record, RegistrationState};
 
 /// Version of the datagrams; a daemon drops any other.
 const VERSION: u8 = 8;
@@ -141,7 +141,7 @@
 
 impl AnsweredAges {
     /// The same as ages at `now`.
-    pub(crate) fn of(answered: Answered, now: Instant) -> Self {
+    pub(crate) fn of(answered: AnsweredPeriod, now: Instant) -> Self {
         Self {
             since_ms: whole_ms(now.saturating_duration_since(answered.since)),
             until_ms: whole_ms(now.saturating_duration_since(answered.until)),
@@ -149,9 +149,9 @@
     }
 
     /// The same as moments, told at `now`; none if they lie before this machine's clock.
-    pub(crate) fn at(self, now: Instant) -> Option<Answered> {
+    pub(crate) fn at(self, now: Instant) -> Option<AnsweredPeriod> {
         let ago = |ms: u32| now.checked_sub(Duration::from_millis(u64::from(ms)));
-        Some(Answered {
+        Some(AnsweredPeriod {
             since: ago(self.since_ms)?,
             until: ago(self.until_ms)?,
         })
@@ -161,9 +161,11 @@
 impl UpstreamChange {
     /// The change that a record holds.
     pub(crate) fn of(id: &UpstreamId, record: &Record) -> Self {
-        let kind = match &record.standing {
-            Standing::Registered(upstream) => UpstreamChangeKind::Registered(upstream.clone()),
-            Standing::Removed { is_announced } => UpstreamChangeKind::Gone {
+        let kind = match &record.state {
+            RegistrationState::Registered(upstream) => {
+                UpstreamChangeKind::Registered(upstream.clone())
+            }
+            RegistrationState::Removed { is_announced } => UpstreamChangeKind::Gone {
                 id: id.clone(),
                 position: record.position,
                 is_announced: *is_announced,
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -44,7 +44,7 @@
     /// Key shown by the caller.
     pub key: Option<ApiKey>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Last event that the caller has of a stream to be resumed.
     pub last_event_id: Option<EventId>,
     /// Size of the generation.
@@ -53,7 +53,7 @@
 
 /// Why the head of a request can't be served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum CallFault {
+pub enum CallHeadError {
     /// No id of the request.
     #[error("the request has no id")]
     NoRequestId,
@@ -106,8 +106,8 @@
     /// Reads the head of a caller's request.
     ///
     /// # Errors
-    /// [`CallFault`] when it lacks what every request has.
-    fn read_call(&self, head: &Parts) -> Result<CallHead, CallFault>;
+    /// [`CallHeadError`] when it lacks what every request has.
+    fn read_call(&self, head: &Parts) -> Result<CallHead, CallHeadError>;
 
     /// Headers of an attempt, from those of the caller.
     fn attempt_headers(&self, caller: &HeaderMap, attempt: &AttemptHead<'_>) -> HeaderMap;
@@ -184,7 +184,7 @@
     /// The changes, in order.
     pub changes: Vec<Change>,
     /// Whether there may be later ones that found no room in the answer.
-    pub may_be_cut: bool,
+    pub may_be_truncated: bool,
 }
 
 /// Why a source gave no answer.
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -61,17 +61,17 @@
 /// Text that is no fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a fingerprint has 32 hexadecimal digits")]
-pub struct NoFingerprint;
+pub struct InvalidFingerprint;
 
 impl FromStr for Fingerprint {
-    type Err = NoFingerprint;
+    type Err = InvalidFingerprint;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let is_hexadecimal = text.bytes().all(|digit| digit.is_ascii_hexdigit());
         if text.len() != 2 * LENGTH_BYTES || !is_hexadecimal {
-            return Err(NoFingerprint);
+            return Err(InvalidFingerprint);
         }
-        let name = RequestName::from_str_radix(text, 16).map_err(|_error| NoFingerprint)?;
+        let name = RequestName::from_str_radix(text, 16).map_err(|_error| InvalidFingerprint)?;
         Ok(name.into())
     }
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -15,11 +15,11 @@
 use crate::boot_clock::BootInstant;
 use crate::datagram::{Relayed, UpstreamChange, UpstreamChangeKind, UpstreamChanges};
 use crate::dialect::{Change, Changes, Entry, Position, Snapshot, Source, SourceError};
-use crate::horizon::Horizon;
+use crate::horizon::KnownPositions;
 use crate::provenance::Provenance;
 use crate::published::Published;
 use crate::registrations::Removal;
-use crate::sharing::Sharing;
+use crate::sharing::StateExchange;
 use crate::trace;
 
 /// Mean time between two calls of the daemons of a zone to a source that fails.
@@ -31,32 +31,32 @@
 
 impl Published {
     /// Follows `source`, for ever; other daemons confirm by `sharing`.
-    pub async fn follow(self, source: Rc<dyn Source>, sharing: Rc<Sharing>) {
+    pub async fn follow(self, source: Rc<dyn Source>, sharing: Rc<StateExchange>) {
         let reading = self.clone().follow_source(source, Rc::clone(&sharing));
         let confirming = self.keep_confirmed(sharing);
         join(reading, confirming).await;
     }
 
-    async fn follow_source(self, source: Rc<dyn Source>, sharing: Rc<Sharing>) {
+    async fn follow_source(self, source: Rc<dyn Source>, sharing: Rc<StateExchange>) {
         let options = self.options();
-        let mut pause = options.first_pause;
+        let mut pause = options.first_retry_pause;
         loop {
             if !self.needs_source(&sharing) {
-                self.0.source_needed.wait(options.ask_period).await;
+                self.0.source_needed.wait(options.query_period).await;
                 continue;
             }
-            let is_first = pause == options.first_pause;
+            let is_first = pause == options.first_retry_pause;
             match self.follow_once(source.as_ref(), &sharing, is_first).await {
                 Ok(()) => {
                     if !is_first {
                         trace::dependency_regained("platform");
                     }
-                    pause = options.first_pause;
+                    pause = options.first_retry_pause;
                     self.0.is_behind.set(false);
                 }
                 Err(SourceError::HistoryGone) => {
-                    self.change_horizon(Horizon::lose);
-                    compio::time::sleep(options.first_pause).await;
+                    self.change_horizon(KnownPositions::reset);
+                    compio::time::sleep(options.first_retry_pause).await;
                 }
                 Err(error) => {
                     if is_first {
@@ -65,14 +65,14 @@
                     self.note_failure();
                     self.0.ask_soon.call();
                     self.wait_after_failure(pause, &sharing).await;
-                    pause = (pause * 2).min(options.longest_pause);
+                    pause = (pause * 2).min(options.longest_retry_pause);
                 }
             }
         }
     }
 
     /// Whether this daemon has to call the source itself.
-    fn needs_source(&self, sharing: &Sharing) -> bool {
+    fn needs_source(&self, sharing: &StateExchange) -> bool {
         let is_fetching = self.0.is_fetching_upstreams.get();
         let knows_nothing = self.horizon().position().is_none() && !is_fetching;
         sharing.is_watcher() || knows_nothing || self.0.is_alone.get() || self.0.is_behind.get()
@@ -81,7 +81,7 @@
     async fn follow_once(
         &self,
         source: &dyn Source,
-        sharing: &Sharing,
+        sharing: &StateExchange,
         has_answered: bool,
     ) -> Result<(), SourceError> {
         let Some(after) = self.horizon().position() else {
@@ -98,14 +98,14 @@
 
     /// Waits before the source is called again; ends early once other daemons have
     /// confirmed what is in force.
-    async fn wait_after_failure(&self, pause: Duration, sharing: &Sharing) {
+    async fn wait_after_failure(&self, pause: Duration, sharing: &StateExchange) {
         let pause = match sharing.is_watcher() {
             true => pause,
             false => pause.max(turn_pause(sharing)),
         };
         let until = Instant::now() + pause;
         while let Some(left) = until.checked_duration_since(Instant::now()) {
-            compio::time::sleep(left.min(self.options().ask_period)).await;
+            compio::time::sleep(left.min(self.options().query_period)).await;
             if !self.needs_source(sharing) {
                 return;
             }
@@ -137,7 +137,7 @@
         source: &dyn Source,
         after: Position,
         wait: Duration,
-        sharing: &Sharing,
+        sharing: &StateExchange,
     ) -> Result<(), SourceError> {
         let asked = BootInstant::now();
         let timeout = self.options().answer_timeout;
@@ -150,7 +150,7 @@
         let Changes {
             position,
             changes,
-            may_be_cut,
+            may_be_truncated,
         } = answer?;
         if changes.is_empty() {
             // It waited the whole time and nothing had changed by its end.
@@ -158,14 +158,14 @@
             self.0.lease.confirm(asked.after(wait.min(asked.elapsed())));
             return Ok(());
         }
-        let relayed = self.relayed(after, position, &changes, may_be_cut);
+        let relayed = self.relayed(after, position, &changes, may_be_truncated);
         self.take_changes(changes, &Provenance::watched(position, asked.elapsed()));
         self.change_horizon(|horizon| horizon.advance(position));
-        if may_be_cut {
+        if may_be_truncated {
             // What followed is not known, so nothing is confirmed; and reading
             // what is published now is sooner done than the rest of its history.
             trace::changes_may_be_cut(position);
-            self.change_horizon(Horizon::lose);
+            self.change_horizon(KnownPositions::reset);
         } else {
             self.0.lease.confirm(asked);
         }
@@ -175,8 +175,11 @@
                 sharing.tell_changed(relayed).await;
             }
         }
-        if !may_be_cut {
-            let pause = self.options().change_pause.min(self.time_to_confirm());
+        if !may_be_truncated {
+            let pause = self
+                .options()
+                .min_watch_interval
+                .min(self.time_to_confirm());
             compio::time::sleep(pause).await;
         }
         Ok(())
@@ -197,7 +200,7 @@
         after: Position,
         position: Position,
         changes: &[Change],
-        may_be_cut: bool,
+        may_be_truncated: bool,
     ) -> Vec<Relayed> {
         let is_other = |change: &Change| {
             matches!(
@@ -205,7 +208,7 @@
                 Change::Written(Entry::Configuration(_) | Entry::Malformed { .. })
             )
         };
-        let has_others = may_be_cut || changes.iter().any(is_other);
+        let has_others = may_be_truncated || changes.iter().any(is_other);
         let answered = self.answered();
         let upstreams: Vec<UpstreamChange> = changes
             .iter()
@@ -213,7 +216,7 @@
             .collect();
         // Of changes that may be cut, those are known that are there.
         let last = upstreams.iter().map(UpstreamChange::position).max();
-        let up_to = match may_be_cut {
+        let up_to = match may_be_truncated {
             true => last.unwrap_or(after),
             false => position,
         };
@@ -232,7 +235,7 @@
             match change {
                 Change::Written(entry) => self.take_entry(entry, provenance),
                 Change::UpstreamGone { id, position } => {
-                    self.take_missing(id, Removal::seen_at(position), provenance);
+                    self.take_missing(id, Removal::observed_at(position), provenance);
                 }
             }
         }
@@ -266,7 +269,7 @@
 ///
 /// Drawn anew each time from half to one and a half times the mean, so that the
 /// daemons of a zone don't call at the same moment.
-fn turn_pause(sharing: &Sharing) -> Duration {
+fn turn_pause(sharing: &StateExchange) -> Duration {
     let daemons = u32::try_from(sharing.zone_daemons()).unwrap_or(u32::MAX);
     let mean = ZONE_RETRY_PERIOD.saturating_mul(daemons);
     let drawn = xxh3_64(&sharing.next_draw().to_le_bytes());
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -13,7 +13,7 @@
 use mangofront_telemetry::metrics::{Metrics, PeerState};
 use mangofront_upstream::Connections;
 
-use crate::budget::SecondSendBudget;
+use crate::budget::RetryBudget;
 use crate::call;
 use crate::dialect::Dialect;
 use crate::drain::{Drain, Stage};
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 struct Shared {
     parts: GatewayParts,
-    budget: SecondSendBudget,
+    budget: RetryBudget,
     orders: Orders,
     drain: Drain,
     in_progress: Cell<usize>,
@@ -67,7 +67,7 @@
     /// Gateway over its neighbours.
     #[must_use]
     pub fn new(parts: GatewayParts) -> Self {
-        let budget = SecondSendBudget::new(parts.options.second_sends);
+        let budget = RetryBudget::new(parts.options.retry_limit);
         let orders = Orders {
             connections: parts.connections.clone(),
             dialect: Rc::clone(&parts.dialect),
@@ -113,7 +113,7 @@
         if let Some(age) = self.0.parts.published.lease().age() {
             metrics.lease_age(age);
         }
-        metrics.departure_late(self.0.parts.published.most_late());
+        metrics.departure_late(self.0.parts.published.longest_departure_delay());
         let members = self.0.parts.peers.members();
         let live = members.iter().filter(|member| member.state.answers());
         let live = live.count() as u64;
@@ -139,7 +139,7 @@
     }
 
     /// Begins the planned stop.
-    pub fn stop(&self) {
+    pub fn begin_drain(&self) {
         self.0.drain.begin();
     }
 
@@ -167,7 +167,7 @@
         &self.0.parts
     }
 
-    pub(crate) fn budget(&self) -> &SecondSendBudget {
+    pub(crate) fn budget(&self) -> &RetryBudget {
         &self.0.budget
     }
 
--- a/crates/gateway/src/history.rs
+++ b/crates/gateway/src/history.rs
@@ -120,7 +120,7 @@
         }
         let daemons = gateway.daemons();
         let budget = gateway.budget();
-        let is_allowed = budget.take(&call.service, daemons, Instant::now());
+        let is_allowed = budget.try_take(&call.service, daemons, Instant::now());
         if is_allowed {
             gateway.parts().metrics.retried();
         } else {
--- a/crates/gateway/src/horizon.rs
+++ b/crates/gateway/src/horizon.rs
@@ -13,7 +13,7 @@
 
 /// How far changes are known.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Horizon {
+pub struct KnownPositions {
     /// Furthest position of which something is known.
     furthest: Option<Position>,
     /// Position up to which all changes of upstreams are known.
@@ -22,7 +22,7 @@
     configuration: Option<Position>,
 }
 
-impl Horizon {
+impl KnownPositions {
     /// Position up to which all changes are known, if there is one.
     #[must_use]
     pub fn position(&self) -> Option<Position> {
@@ -86,7 +86,7 @@
     }
 
     /// Notes that changes may be missing, so that everything has to be read.
-    pub fn lose(&mut self) {
+    pub fn reset(&mut self) {
         self.upstreams = None;
         self.configuration = None;
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -41,21 +41,23 @@
 mod wakeup;
 mod zones;
 
-pub use budget::{SecondSendBudget, SecondSendLimit};
-pub use contact::{Answered, Contact};
+pub use budget::{RetryBudget, RetryLimit};
+pub use contact::{AnsweredPeriod, SourceAvailability};
 pub use datagram::{UpstreamChange, UpstreamChangeKind, UpstreamChanges};
 pub use dialect::{
-    AnswerHead, AttemptHead, CallFault, CallHead, Change, Changes, Dialect, Entry, EventId, Helper,
-    Position, ReservationId, Snapshot, Source, SourceError, TokenCounts,
+    AnswerHead, AttemptHead, CallHead, CallHeadError, Change, Changes, Dialect, Entry, EventId,
+    Helper, Position, ReservationId, Snapshot, Source, SourceError, TokenCounts,
 };
 pub use events::{EventFramer, FramedEvents};
-pub use fingerprint::{Fingerprint, NoFingerprint};
+pub use fingerprint::{Fingerprint, InvalidFingerprint};
 pub use gateway::{Gateway, GatewayParts};
-pub use horizon::Horizon;
+pub use horizon::KnownPositions;
 pub use lease::Lease;
 pub use options::{GatewayOptions, GatewayOptionsBuilder};
 pub use published::Published;
 pub use published_options::PublishedOptions;
 pub use quarantine::QuarantinedRequest;
-pub use registrations::{Missing, Record, Registered, Registrations, Removal, Standing};
-pub use sharing::{Sharing, SharingError, SharingOptions};
+pub use registrations::{
+    Record, RegisterOutcome, RegistrationState, Registrations, Removal, RemovalOutcome,
+};
+pub use sharing::{StateExchange, StateExchangeError, StateExchangeOptions};
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -4,7 +4,7 @@
 
 use mangofront_settings::ids::InstanceId;
 
-use crate::budget::SecondSendLimit;
+use crate::budget::RetryLimit;
 
 /// How long requests with a key are served without a confirmation, unless set.
 const DEFAULT_KEY_LEASE: Duration = Duration::from_secs(5);
@@ -23,7 +23,7 @@
     pub(crate) instance: InstanceId,
     pub(crate) key_lease: Duration,
     pub(crate) ready_lease: Duration,
-    pub(crate) second_sends: SecondSendLimit,
+    pub(crate) retry_limit: RetryLimit,
     pub(crate) reservation_hold: Duration,
     pub(crate) stall_timeout: Duration,
     pub(crate) answer_limit_bytes: usize,
@@ -36,7 +36,7 @@
         GatewayOptionsBuilder {
             instance: instance.into(),
             key_lease: DEFAULT_KEY_LEASE,
-            second_sends: SecondSendLimit::default(),
+            retry_limit: RetryLimit::default(),
             reservation_hold: Duration::from_secs(3),
             stall_timeout: Duration::from_millis(1_500),
         }
@@ -48,7 +48,7 @@
 pub struct GatewayOptionsBuilder {
     instance: InstanceId,
     key_lease: Duration,
-    second_sends: SecondSendLimit,
+    retry_limit: RetryLimit,
     reservation_hold: Duration,
     stall_timeout: Duration,
 }
@@ -63,8 +63,8 @@
 
     /// Limit on what is sent again, of all daemons together.
     #[must_use]
-    pub fn second_sends(mut self, limit: SecondSendLimit) -> Self {
-        self.second_sends = limit;
+    pub fn retry_limit(mut self, limit: RetryLimit) -> Self {
+        self.retry_limit = limit;
         self
     }
 
@@ -89,7 +89,7 @@
             instance: self.instance,
             key_lease: self.key_lease.mul_f64(KEY_LEASE_SHARE),
             ready_lease: self.key_lease.mul_f64(READY_LEASE_SHARE),
-            second_sends: self.second_sends,
+            retry_limit: self.retry_limit,
             reservation_hold: self.reservation_hold,
             stall_timeout: self.stall_timeout,
             answer_limit_bytes: 8 * 1024 * 1024,
--- a/crates/gateway/src/published.rs
+++ b/crates/gateway/src/published.rs
@@ -18,17 +18,17 @@
 use mangofront_upstream::Connections;
 
 use crate::boot_clock::BootInstant;
-use crate::contact::{Answered, Contact};
+use crate::contact::{AnsweredPeriod, SourceAvailability};
 use crate::copies::{CopyOf, CopyPart, HandedOut, Wanted};
 use crate::datagram::{
     AnsweredAges, Confirmation, UpstreamChange, UpstreamChangeKind, UpstreamChanges,
 };
 use crate::dialect::{Entry, Position};
-use crate::horizon::Horizon;
+use crate::horizon::KnownPositions;
 use crate::lease::Lease;
 use crate::provenance::Provenance;
 use crate::published_options::PublishedOptions;
-use crate::registrations::{Missing, Registered, Registrations, Removal};
+use crate::registrations::{RegisterOutcome, Registrations, Removal, RemovalOutcome};
 use crate::trace;
 use crate::wakeup::{Call, Wakeup};
 
@@ -43,12 +43,12 @@
     connections: Connections,
     table: RefCell<Option<Rc<RouteTable>>>,
     registrations: RefCell<Registrations>,
-    contact: Cell<Contact>,
+    contact: Cell<SourceAvailability>,
     pub(crate) lease: Lease,
-    horizon: Cell<Horizon>,
+    horizon: Cell<KnownPositions>,
     handed_out: HandedOut,
     /// Longest time by which others knew of a departure before.
-    most_late: Cell<Duration>,
+    longest_departure_delay: Cell<Duration>,
     /// Whether the source itself confirmed what is in force last.
     pub(crate) is_first_hand: Cell<bool>,
     /// Whether nobody in touch with the source answered the last question.
@@ -84,7 +84,7 @@
             lease: Lease::default(),
             horizon: Cell::default(),
             handed_out: HandedOut::default(),
-            most_late: Cell::default(),
+            longest_departure_delay: Cell::default(),
             is_first_hand: Cell::default(),
             is_alone: Cell::default(),
             is_behind: Cell::default(),
@@ -111,27 +111,29 @@
 
     /// Longest time by which others knew before that an upstream leaves or has left.
     #[must_use]
-    pub fn most_late(&self) -> Duration {
-        self.0.most_late.get()
+    pub fn longest_departure_delay(&self) -> Duration {
+        self.0.longest_departure_delay.get()
     }
 
-    fn note_departure(&self, late: Duration) {
-        self.0.most_late.set(self.most_late().max(late));
+    fn note_departure(&self, delay: Duration) {
+        self.0
+            .longest_departure_delay
+            .set(self.longest_departure_delay().max(delay));
     }
 
     /// Whether any upstream is known.
     #[must_use]
     pub fn has_upstreams(&self) -> bool {
-        self.0.registrations.borrow().used().next().is_some()
+        self.0.registrations.borrow().in_use().next().is_some()
     }
 
     /// How far changes are known here.
-    pub(crate) fn horizon(&self) -> Horizon {
+    pub(crate) fn horizon(&self) -> KnownPositions {
         self.0.horizon.get()
     }
 
     /// Notes how far changes are known now.
-    pub(crate) fn change_horizon(&self, change: impl FnOnce(&mut Horizon)) {
+    pub(crate) fn change_horizon(&self, change: impl FnOnce(&mut KnownPositions)) {
         let mut horizon = self.horizon();
         change(&mut horizon);
         self.0.horizon.set(horizon);
@@ -171,37 +173,37 @@
     /// Notes that the source has just answered a call of `asked`.
     pub(crate) fn note_answer(&self, asked: Instant) {
         self.0.is_first_hand.set(true);
-        self.change_contact(|contact| contact.answered(asked, Instant::now()));
+        self.change_contact(|contact| contact.record_answer(asked, Instant::now()));
     }
 
     /// Notes that a call to the source has failed.
     pub(crate) fn note_failure(&self) {
         self.0.is_first_hand.set(false);
-        self.change_contact(Contact::failed);
+        self.change_contact(SourceAvailability::record_failure);
     }
 
     /// Takes in what another daemon knows of the source's answers.
     pub(crate) fn note_heard(&self, answered: Option<AnsweredAges>) {
         let now = Instant::now();
-        let Some(answered): Option<Answered> = answered.and_then(|ages| ages.at(now)) else {
+        let Some(answered): Option<AnsweredPeriod> = answered.and_then(|ages| ages.at(now)) else {
             return;
         };
-        self.change_contact(|contact| contact.heard(answered, now));
+        self.change_contact(|contact| contact.merge(answered, now));
     }
 
-    fn change_contact(&self, change: impl FnOnce(&mut Contact)) {
+    fn change_contact(&self, change: impl FnOnce(&mut SourceAvailability)) {
         let mut contact = self.0.contact.get();
         change(&mut contact);
         self.0.contact.set(contact);
         let grace = self.0.options.lapse_grace;
         if contact.keep_until(Instant::now(), grace).is_none() {
-            self.end_all_keeping();
+            self.end_all_grace();
         }
     }
 
     /// Uses no upstream any longer that may only have lapsed: the source was there.
-    fn end_all_keeping(&self) {
-        let ended = self.0.registrations.borrow_mut().end_all_keeping();
+    fn end_all_grace(&self) {
+        let ended = self.0.registrations.borrow_mut().end_all_grace();
         if ended.is_empty() {
             return;
         }
@@ -225,11 +227,11 @@
     pub(crate) fn take_told(&self, changes: Vec<UpstreamChange>, provenance: &Provenance) {
         let mut has_changed = false;
         for change in changes {
-            let late = change.known_for();
+            let delay = change.known_for();
             has_changed |= match change.kind {
                 UpstreamChangeKind::Registered(upstream) => {
                     let may_be_removed = self.0.registrations.borrow().may_be_removed(&upstream);
-                    !may_be_removed && self.take_upstream(upstream, late, provenance)
+                    !may_be_removed && self.take_upstream(upstream, delay, provenance)
                 }
                 UpstreamChangeKind::Gone {
                     id,
@@ -239,7 +241,7 @@
                     let removal = Removal {
                         position,
                         is_announced,
-                        late,
+                        delay,
                     };
                     self.take_missing(id, removal, provenance)
                 }
@@ -254,14 +256,14 @@
     pub(crate) fn is_announced(&self, id: &UpstreamId) -> bool {
         let registrations = self.0.registrations.borrow();
         let record = registrations.record(id);
-        record.is_some_and(|record| record.standing.is_announced())
+        record.is_some_and(|record| record.state.is_announced())
     }
 
     /// Answers a daemon that asks for a copy of what is in force here.
     ///
     /// The answer is empty where there is none, or the copy that was begun is replaced.
     #[must_use]
-    pub fn answer_copy(&self, request: &[u8]) -> Bytes {
+    pub fn answer_copy_request(&self, request: &[u8]) -> Bytes {
         let part = Wanted::read(request).and_then(|wanted| self.copy_part(wanted));
         part.map(|part| part.write()).unwrap_or_default()
     }
@@ -313,9 +315,9 @@
         }
         missing.retain(|id| !present.contains(id));
         for id in missing {
-            self.take_missing(id, Removal::seen_at(position), provenance);
+            self.take_missing(id, Removal::observed_at(position), provenance);
         }
-        self.0.registrations.borrow_mut().replaced_at(position);
+        self.0.registrations.borrow_mut().reloaded_at(position);
         self.pass_on_upstreams();
     }
 
@@ -343,18 +345,18 @@
     }
 
     /// Takes in a registration; whether anything that matters has changed.
-    fn take_upstream(&self, upstream: Upstream, late: Duration, provenance: &Provenance) -> bool {
+    fn take_upstream(&self, upstream: Upstream, delay: Duration, provenance: &Provenance) -> bool {
         let mut registrations = self.0.registrations.borrow_mut();
-        match registrations.register(upstream.clone(), late) {
-            Registered::Changed => {
-                trace::upstream_published(&upstream, late, provenance);
+        match registrations.register(upstream.clone(), delay) {
+            RegisterOutcome::Changed => {
+                trace::upstream_published(&upstream, delay, provenance);
                 if upstream.leaving {
-                    self.note_departure(late);
+                    self.note_departure(delay);
                 }
                 true
             }
-            Registered::Unchanged | Registered::Outdated => false,
-            Registered::EarlierLife => {
+            RegisterOutcome::Unchanged | RegisterOutcome::Outdated => false,
+            RegisterOutcome::EarlierIncarnation => {
                 trace::earlier_life(&upstream);
                 false
             }
@@ -373,7 +375,7 @@
     ) {
         trace::unusable_registration(id, reason, provenance);
         let mut registrations = self.0.registrations.borrow_mut();
-        if registrations.remove(id, Removal::seen_at(position)) {
+        if registrations.remove(id, Removal::observed_at(position)) {
             trace::upstream_gone(id, Duration::ZERO, provenance);
         }
     }
@@ -402,26 +404,26 @@
         let contact = self.0.contact.get();
         let keep_until = contact.keep_until(now, self.0.options.lapse_grace);
         let mut registrations = self.0.registrations.borrow_mut();
-        match registrations.miss(&id, removal, keep_until) {
-            Missing::Unchanged => false,
-            Missing::Removed => {
-                trace::upstream_gone(&id, removal.late, provenance);
-                self.note_departure(removal.late);
+        match registrations.mark_missing(&id, removal, keep_until) {
+            RemovalOutcome::Unchanged => false,
+            RemovalOutcome::Removed => {
+                trace::upstream_gone(&id, removal.delay, provenance);
+                self.note_departure(removal.delay);
                 true
             }
-            Missing::Kept(until) => {
+            RemovalOutcome::InGrace(until) => {
                 trace::removal_put_off(&id, until.duration_since(now), provenance);
-                spawn(self.clone().end_keeping(id, until, provenance.clone())).detach();
+                spawn(self.clone().end_grace(id, until, provenance.clone())).detach();
                 false
             }
         }
     }
 
     /// Removes an upstream at `until`, unless it is registered again before.
-    async fn end_keeping(self, id: UpstreamId, until: Instant, provenance: Provenance) {
+    async fn end_grace(self, id: UpstreamId, until: Instant, provenance: Provenance) {
         compio::time::sleep_until(until).await;
         let mut registrations = self.0.registrations.borrow_mut();
-        if registrations.end_keeping(&id, Instant::now()) {
+        if registrations.end_grace(&id, Instant::now()) {
             drop(registrations);
             trace::upstream_gone(&id, Duration::ZERO, &provenance);
             self.pass_on_upstreams();
@@ -447,7 +449,7 @@
             let table = table.as_ref();
             table.is_none_or(|table| table.service(&upstream.service).is_some())
         };
-        let usable = registrations.used().filter(is_in_force).cloned();
+        let usable = registrations.in_use().filter(is_in_force).cloned();
         for restarted in self.0.upstreams.set_known(usable, &figures) {
             trace::upstream_restarted(&restarted);
             let address = restarted.address;
--- a/crates/gateway/src/published_options.rs
+++ b/crates/gateway/src/published_options.rs
@@ -7,7 +7,7 @@
 //!
 //! ```text
 //! change .. teller too old .. asked .. no answer .. others asked .. own call .. request sent
-//!         told_age_limit  ask_period  ASK_TIMEOUT   ASK_TIMEOUT    CALL_TIME  SEND_TIME
+//!         confirmation_age_limit  query_period  ASK_TIMEOUT   ASK_TIMEOUT    CALL_TIME  SEND_TIME
 //! ```
 //!
 //! The sum is what is expected. What is acted on is measured: a request is sent by what was
@@ -44,20 +44,20 @@
     /// milliseconds, for a source that is slow but there.
     pub answer_timeout: Duration,
     /// Time between two questions to other daemons.
-    pub ask_period: Duration,
+    pub query_period: Duration,
     /// Age up to which what another daemon knows confirms what is in force here; older, it
     /// is out of touch itself.
-    pub told_age_limit: Duration,
+    pub confirmation_age_limit: Duration,
     /// Time for each part of a reading of everything.
     pub read_timeout: Duration,
-    /// Pause after a failed call; doubled up to `longest_pause`.
-    pub first_pause: Duration,
+    /// Pause after a failed call; doubled up to `longest_retry_pause`.
+    pub first_retry_pause: Duration,
     /// Longest pause after a failed call; within the second or two in which a
     /// source's return should be noticed.
-    pub longest_pause: Duration,
+    pub longest_retry_pause: Duration,
     /// Least time between two calls after changes, so that a burst of changes
     /// is read at once; well below the seconds in which one must be in force.
-    pub change_pause: Duration,
+    pub min_watch_interval: Duration,
     /// Time after the source's return for which an upstream is kept whose
     /// registration is missing.
     pub lapse_grace: Duration,
@@ -80,12 +80,12 @@
         Self {
             watch_wait: share(0.24, 0.35),
             answer_timeout: Duration::from_millis(700),
-            ask_period: share(0.1, 0.13),
-            told_age_limit: share(0.4, 0.42),
+            query_period: share(0.1, 0.13),
+            confirmation_age_limit: share(0.4, 0.42),
             read_timeout: Duration::from_millis(2_000),
-            first_pause: Duration::from_millis(80),
-            longest_pause: Duration::from_millis(600),
-            change_pause: Duration::from_millis(250),
+            first_retry_pause: Duration::from_millis(80),
+            longest_retry_pause: Duration::from_millis(600),
+            min_watch_interval: Duration::from_millis(250),
             lapse_grace: LONGEST_LAPSE_GRACE.min(change_bound.mul_f64(0.85)),
         }
     }
@@ -93,13 +93,13 @@
     /// Time without a confirmation after which others are asked before a request is sent.
     #[must_use]
     pub fn unconfirmed_limit(&self) -> Duration {
-        self.told_age_limit + self.ask_period + ASK_TIMEOUT * 2
+        self.confirmation_age_limit + self.query_period + ASK_TIMEOUT * 2
     }
 
     /// Longest time from a change until no request is sent any more by what was before
     /// it, at a daemon that reaches the source while those that it asks do not.
     #[must_use]
-    pub fn acted_on_within(&self) -> Duration {
+    pub fn reaction_bound(&self) -> Duration {
         self.unconfirmed_limit() + CALL_TIME + SEND_TIME
     }
 }
--- a/crates/gateway/src/registrations.rs
+++ b/crates/gateway/src/registrations.rs
@@ -25,7 +25,7 @@
 
 /// What a registration changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Registered {
+pub enum RegisterOutcome {
     /// The upstream is new, or something of it that matters is.
     Changed,
     /// Nothing that matters.
@@ -33,18 +33,18 @@
     /// Nothing: a later change of it is known.
     Outdated,
     /// Nothing: it was written by an earlier life than the one that is known.
-    EarlierLife,
+    EarlierIncarnation,
 }
 
 /// What a missing registration led to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Missing {
+pub enum RemovalOutcome {
     /// The upstream was not known, is kept already, or a later change of it is known.
     Unchanged,
     /// The upstream is used no more.
     Removed,
     /// The upstream is used on until then.
-    Kept(Instant),
+    InGrace(Instant),
 }
 
 /// Registrations as far as they are known.
@@ -66,16 +66,16 @@
     /// Position of the change.
     pub position: Position,
     /// What has been published since.
-    pub standing: Standing,
+    pub state: RegistrationState,
     /// When this daemon learned of it.
-    pub learned: Instant,
+    pub learned_at: Instant,
     /// Time for which others had known it by then, as far as they told.
-    pub late: Duration,
+    pub delay: Duration,
 }
 
 /// What is published of an upstream.
 #[derive(Debug, Clone)]
-pub enum Standing {
+pub enum RegistrationState {
     /// This registration.
     Registered(Upstream),
     /// Nothing.
@@ -93,17 +93,17 @@
     /// Whether the upstream is known to have said before that it leaves.
     pub is_announced: bool,
     /// Time for which others have known it, as far as they told.
-    pub late: Duration,
+    pub delay: Duration,
 }
 
 impl Removal {
     /// A removal that this daemon sees itself, of an upstream that it may know to leave.
     #[must_use]
-    pub fn seen_at(position: Position) -> Self {
+    pub fn observed_at(position: Position) -> Self {
         Self {
             position,
             is_announced: false,
-            late: Duration::ZERO,
+            delay: Duration::ZERO,
         }
     }
 }
@@ -118,11 +118,11 @@
     /// Time since somebody learned of it.
     #[must_use]
     pub fn known_for(&self) -> Duration {
-        self.late + self.learned.elapsed()
+        self.delay + self.learned_at.elapsed()
     }
 }
 
-impl Standing {
+impl RegistrationState {
     fn upstream(&self) -> Option<&Upstream> {
         match self {
             Self::Registered(upstream) => Some(upstream),
@@ -141,39 +141,39 @@
 }
 
 impl Registrations {
-    /// Takes in a registration, which others have known for `late`.
-    pub fn register(&mut self, upstream: Upstream, late: Duration) -> Registered {
+    /// Takes in a registration, which others have known for `delay`.
+    pub fn register(&mut self, upstream: Upstream, delay: Duration) -> RegisterOutcome {
         let id = upstream.id.clone();
         let record = self.records.get(&id);
         let position = upstream.registered_at;
         if record.is_some_and(|record| record.position > position) {
-            return Registered::Outdated;
+            return RegisterOutcome::Outdated;
         }
-        let published = record.and_then(|record| record.standing.upstream());
+        let published = record.and_then(|record| record.state.upstream());
         if published.is_some_and(|published| published.registered_at == position) {
-            return Registered::Unchanged;
+            return RegisterOutcome::Unchanged;
         }
         let before = published.or_else(|| self.kept.get(&id).map(|kept| &kept.upstream));
         if before.is_some_and(|before| before.started_at_ms > upstream.started_at_ms) {
-            return Registered::EarlierLife;
+            return RegisterOutcome::EarlierIncarnation;
         }
         let is_unchanged = before.is_some_and(|before| before.says_the_same(&upstream));
         self.kept.remove(&id);
-        self.note(id, position, Standing::Registered(upstream), late);
+        self.note(id, position, RegistrationState::Registered(upstream), delay);
         match is_unchanged {
-            true => Registered::Unchanged,
-            false => Registered::Changed,
+            true => RegisterOutcome::Unchanged,
+            false => RegisterOutcome::Changed,
         }
     }
 
     /// Notes that nothing is published of an upstream any more; it is kept until
     /// `keep_until`, if that is given and it had not said that it leaves.
-    pub fn miss(
+    pub fn mark_missing(
         &mut self,
         id: &UpstreamId,
         removal: Removal,
         keep_until: Option<Instant>,
-    ) -> Missing {
+    ) -> RemovalOutcome {
         let Some(before) = self.replace(id, removal) else {
             return self.end_announced(id, removal);
         };
@@ -184,19 +184,19 @@
                     until,
                 };
                 self.kept.insert(id.clone(), kept);
-                Missing::Kept(until)
+                RemovalOutcome::InGrace(until)
             }
-            _ => Missing::Removed,
+            _ => RemovalOutcome::Removed,
         }
     }
 
     /// Ends the use of an upstream that was kept, as it had said that it leaves.
-    fn end_announced(&mut self, id: &UpstreamId, removal: Removal) -> Missing {
+    fn end_announced(&mut self, id: &UpstreamId, removal: Removal) -> RemovalOutcome {
         let is_last = |record: &Record| record.position <= removal.position;
         let ends = removal.is_announced && self.records.get(id).is_some_and(is_last);
         match ends && self.kept.remove(id).is_some() {
-            true => Missing::Removed,
-            false => Missing::Unchanged,
+            true => RemovalOutcome::Removed,
+            false => RemovalOutcome::Unchanged,
         }
     }
 
@@ -220,17 +220,17 @@
         if record.position > removal.position {
             return None;
         }
-        let was_announced = match &record.standing {
-            Standing::Registered(before) => before.leaving,
+        let was_announced = match &record.state {
+            RegistrationState::Registered(before) => before.leaving,
             // A later removal is one of a later life.
-            Standing::Removed { is_announced } => {
+            RegistrationState::Removed { is_announced } => {
                 *is_announced && record.position == removal.position
             }
         };
         let is_announced = removal.is_announced || was_announced;
-        let Some(before) = record.standing.upstream().cloned() else {
+        let Some(before) = record.state.upstream().cloned() else {
             record.position = removal.position;
-            record.standing = Standing::Removed { is_announced };
+            record.state = RegistrationState::Removed { is_announced };
             self.last_change = self.last_change.max(removal.position);
             return None;
         };
@@ -244,21 +244,27 @@
 
     fn note_removal(&mut self, id: &UpstreamId, removal: Removal) {
         let is_announced = removal.is_announced;
-        let standing = Standing::Removed { is_announced };
-        self.note(id.clone(), removal.position, standing, removal.late);
+        let state = RegistrationState::Removed { is_announced };
+        self.note(id.clone(), removal.position, state, removal.delay);
         self.forget_removals();
     }
 
-    fn note(&mut self, id: UpstreamId, position: Position, standing: Standing, late: Duration) {
-        let is_removal = standing.upstream().is_none();
+    fn note(
+        &mut self,
+        id: UpstreamId,
+        position: Position,
+        state: RegistrationState,
+        delay: Duration,
+    ) {
+        let is_removal = state.upstream().is_none();
         let record = Record {
             position,
-            standing,
-            learned: Instant::now(),
-            late,
+            state,
+            learned_at: Instant::now(),
+            delay,
         };
         let before = self.records.insert(id, record);
-        let was_removal = before.is_some_and(|before| before.standing.upstream().is_none());
+        let was_removal = before.is_some_and(|before| before.state.upstream().is_none());
         self.removals += usize::from(is_removal);
         self.removals -= usize::from(was_removal);
         self.last_change = self.last_change.max(position);
@@ -270,12 +276,12 @@
             return;
         }
         let removals = self.records.values();
-        let removals = removals.filter(|record| record.standing.upstream().is_none());
+        let removals = removals.filter(|record| record.state.upstream().is_none());
         let mut positions: Vec<Position> = removals.map(|record| record.position).collect();
         positions.sort_unstable();
         let last = positions[positions.len() / 2];
         self.records
-            .retain(|_, record| record.standing.upstream().is_some() || record.position > last);
+            .retain(|_, record| record.state.upstream().is_some() || record.position > last);
         self.removals = positions
             .iter()
             .filter(|position| **position > last)
@@ -285,18 +291,18 @@
 
     /// Notes that all was taken over as of `position`, so that removals before it may have
     /// been missed.
-    pub fn replaced_at(&mut self, position: Position) {
+    pub fn reloaded_at(&mut self, position: Position) {
         self.removals_known_after = self.removals_known_after.max(position);
     }
 
     /// Ends the use of an upstream that was kept until `now` or earlier; whether it was.
-    pub fn end_keeping(&mut self, id: &UpstreamId, now: Instant) -> bool {
+    pub fn end_grace(&mut self, id: &UpstreamId, now: Instant) -> bool {
         let is_over = self.kept.get(id).is_some_and(|kept| kept.until <= now);
         is_over && self.kept.remove(id).is_some()
     }
 
     /// Ends the use of all upstreams that are kept; their ids.
-    pub fn end_all_keeping(&mut self) -> Vec<UpstreamId> {
+    pub fn end_all_grace(&mut self) -> Vec<UpstreamId> {
         self.kept.drain().map(|(id, _)| id).collect()
     }
 
@@ -330,11 +336,11 @@
     /// The registrations that are published, to be handed to others.
     pub fn published(&self) -> impl Iterator<Item = &Upstream> {
         let records = self.records.values();
-        records.filter_map(|record| record.standing.upstream())
+        records.filter_map(|record| record.state.upstream())
     }
 
     /// The upstreams that are used.
-    pub fn used(&self) -> impl Iterator<Item = &Upstream> {
+    pub fn in_use(&self) -> impl Iterator<Item = &Upstream> {
         let kept = self.kept.values().map(|kept| &kept.upstream);
         self.published().chain(kept)
     }
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -54,15 +54,15 @@
 /// Pause after a failed reading, so that a lasting fault does not spin.
 const FAILURE_PAUSE: Duration = Duration::from_millis(50);
 
-/// Sharing that could not be started.
+/// Exchange that could not be started.
 #[derive(Debug, Error)]
 #[error("listen for news on {address} failed: {cause}")]
-pub struct SharingError {
+pub struct StateExchangeError {
     address: SocketAddr,
     cause: io::Error,
 }
 
-impl SharingError {
+impl StateExchangeError {
     /// Whether another process has the address.
     #[must_use]
     pub fn is_address_in_use(&self) -> bool {
@@ -70,9 +70,9 @@
     }
 }
 
-/// Settings of [`Sharing`].
+/// Settings of [`StateExchange`].
 #[derive(Debug, Clone)]
-pub struct SharingOptions {
+pub struct StateExchangeOptions {
     /// Address to listen on; the other daemons listen on the same port.
     pub address: SocketAddr,
     /// Name of this daemon.
@@ -85,7 +85,7 @@
 
 /// News from and to the other daemons.
 #[derive(Debug)]
-pub struct Sharing {
+pub struct StateExchange {
     socket: UdpSocket,
     own: SocketAddr,
     relay_from_daemons: usize,
@@ -110,21 +110,21 @@
     relay_heard: Cell<Option<Instant>>,
 }
 
-impl Sharing {
+impl StateExchange {
     /// Listens for the other daemons.
     ///
     /// # Errors
-    /// [`SharingError`] when the address can't be had.
+    /// [`StateExchangeError`] when the address can't be had.
     pub async fn start(
-        options: SharingOptions,
+        options: StateExchangeOptions,
         peers: Peers,
         upstreams: Upstreams,
         published: Published,
-    ) -> Result<Rc<Self>, SharingError> {
+    ) -> Result<Rc<Self>, StateExchangeError> {
         let address = options.address;
         let socket = UdpSocket::bind(address)
             .await
-            .map_err(|cause| SharingError { address, cause })?;
+            .map_err(|cause| StateExchangeError { address, cause })?;
         Ok(Rc::new(Self {
             socket,
             own: address,
@@ -233,7 +233,7 @@
     }
 
     /// Hears what the others tell, for ever.
-    pub async fn hear(self: Rc<Self>) {
+    pub async fn receive(self: Rc<Self>) {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         loop {
             buffer.clear();
--- a/crates/gateway/src/sharing/asking.rs
+++ b/crates/gateway/src/sharing/asking.rs
@@ -9,7 +9,7 @@
 use mangofront_peers::{CallError, Member, Service};
 use mangofront_settings::ids::{AvailabilityZone, InstanceId};
 
-use super::Sharing;
+use super::StateExchange;
 use crate::copies::Wanted;
 use crate::datagram::{Confirmation, Message, Nonce, Relayed, UpstreamChanges};
 use crate::dialect::Position;
@@ -59,7 +59,7 @@
 
 /// Answers to one question, as they come.
 pub(crate) struct Answers<'a> {
-    sharing: &'a Sharing,
+    sharing: &'a StateExchange,
     nonce: Nonce,
     asked: Vec<(SocketAddr, InstanceId)>,
     answers: UnboundedReceiver<Answer>,
@@ -96,7 +96,7 @@
     }
 }
 
-impl Sharing {
+impl StateExchange {
     /// Whether this daemon is one of those that watch what is published for
     /// their zone.
     pub(crate) fn is_watcher(&self) -> bool {
--- a/crates/gateway/src/sharing/lives.rs
+++ b/crates/gateway/src/sharing/lives.rs
@@ -6,7 +6,7 @@
 use mangofront_settings::ids::{Incarnation, InstanceId};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::Sharing;
+use super::StateExchange;
 
 /// Which life of a daemon something is of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -16,9 +16,9 @@
     Ended,
 }
 
-impl Sharing {
+impl StateExchange {
     /// Forgets the work of a daemon that is gone.
-    pub fn gone(&self, instance: &InstanceId) {
+    pub fn remove_daemon(&self, instance: &InstanceId) {
         let daemon = xxh3_64(instance.as_bytes());
         if let Some(incarnation) = self.lives.borrow_mut().remove(&daemon) {
             self.forget(daemon, incarnation);
--- a/crates/gateway/src/sharing/relaying.rs
+++ b/crates/gateway/src/sharing/relaying.rs
@@ -11,15 +11,15 @@
 use mangofront_dissemination::{Paths, RELAY_SILENCE, Scope, Telling};
 use mangofront_engines::News;
 
-use super::Sharing;
+use super::StateExchange;
 use crate::datagram::{Message, parts};
 
 /// Time between two lists of all that has not ended.
 const REPEAT_PERIOD: Duration = Duration::from_secs(1);
 
-impl Sharing {
+impl StateExchange {
     /// Tells the others what comes out of `news`, for ever.
-    pub async fn tell(self: Rc<Self>, mut news: UnboundedReceiver<News>) {
+    pub async fn broadcast(self: Rc<Self>, mut news: UnboundedReceiver<News>) {
         while let Some(first) = news.next().await {
             let mut batch = vec![first];
             while let Ok(next) = news.try_recv() {
@@ -113,7 +113,7 @@
     ///
     /// Each daemon at a moment of its own: daemons that started together would all
     /// tell at once, and be silent for the rest of the second.
-    pub async fn repeat(self: Rc<Self>) {
+    pub async fn rebroadcast_running(self: Rc<Self>) {
         let share = self.daemon as f64 / u64::MAX as f64;
         compio::time::sleep(REPEAT_PERIOD.mul_f64(share)).await;
         loop {
--- a/crates/gateway/tests/fleet/daemon.rs
+++ b/crates/gateway/tests/fleet/daemon.rs
@@ -13,7 +13,9 @@
 use futures_channel::mpsc;
 use futures_util::FutureExt;
 use mangofront_engines::{ChoiceOptions, UpstreamKey, Upstreams};
-use mangofront_gateway::{Published, PublishedOptions, Sharing, SharingOptions, Source};
+use mangofront_gateway::{
+    Published, PublishedOptions, Source, StateExchange, StateExchangeOptions,
+};
 use mangofront_peers::{
     ListedPeer, MemberChange, MemberState, Peers, PeersOptions, Responder, Service,
 };
@@ -116,24 +118,25 @@
             upstreams.clone(),
             connections(),
         );
-        let sharing_cell: Rc<OnceCell<Rc<Sharing>>> = Rc::default();
+        let sharing_cell: Rc<OnceCell<Rc<StateExchange>>> = Rc::default();
         let peers = start_peers(network, place, &published, &sharing_cell);
-        let options = SharingOptions {
+        let options = StateExchangeOptions {
             address: SocketAddr::new(network.ip(place), NEWS_PORT),
             instance: name(place),
             zone: zone(place),
             relay_from_daemons: RELAY_FROM_DAEMONS,
         };
         let sharing =
-            Sharing::start(options, peers.clone(), upstreams.clone(), published.clone()).await;
+            StateExchange::start(options, peers.clone(), upstreams.clone(), published.clone())
+                .await;
         let sharing = sharing.expect("the address is free");
         // Set once, right here.
         let _ = sharing_cell.set(Rc::clone(&sharing));
         let background = vec![
             spawn(published.clone().follow(source, Rc::clone(&sharing))),
-            spawn(Rc::clone(&sharing).tell(told)),
-            spawn(Rc::clone(&sharing).repeat()),
-            spawn(sharing.hear()),
+            spawn(Rc::clone(&sharing).broadcast(told)),
+            spawn(Rc::clone(&sharing).rebroadcast_running()),
+            spawn(sharing.receive()),
         ];
         Self {
             upstreams,
@@ -187,7 +190,7 @@
     network: Network,
     place: Place,
     published: &Published,
-    sharing: &Rc<OnceCell<Rc<Sharing>>>,
+    sharing: &Rc<OnceCell<Rc<StateExchange>>>,
 ) -> Peers {
     let listen = SocketAddr::new(network.ip(place), PEER_PORT);
     let options = PeersOptions::builder(name(place), REGION, zone(place), listen)
@@ -199,13 +202,13 @@
     let on_change = Rc::new(move |change: MemberChange| {
         let member = &change.member;
         if let Some(sharing) = sharing.get().filter(|_| !member.state.answers()) {
-            sharing.gone(&member.instance);
+            sharing.remove_daemon(&member.instance);
         }
     });
     let published = published.clone();
     let responder: Responder = Rc::new(move |_from, service, request| {
         let answer = match service {
-            Service::Platform => published.answer_copy(&request),
+            Service::Platform => published.answer_copy_request(&request),
             Service::Once | Service::Placement => Bytes::new(),
         };
         async move { answer }.boxed_local()
--- a/crates/gateway/tests/fleet/store.rs
+++ b/crates/gateway/tests/fleet/store.rs
@@ -193,7 +193,7 @@
         let changes = Changes {
             position: self.position.get(),
             changes: later.iter().map(|one| one.1.change(one.0)).collect(),
-            may_be_cut: size_bytes >= CUT_FROM_BYTES,
+            may_be_truncated: size_bytes >= CUT_FROM_BYTES,
         };
         Ok((changes, size_bytes))
     }
--- a/crates/gateway/tests/horizon.rs
+++ b/crates/gateway/tests/horizon.rs
@@ -1,9 +1,9 @@
 //! How far a daemon knows what is published, and whose word it takes for it.
 
-use mangofront_gateway::Horizon;
+use mangofront_gateway::KnownPositions;
 
-fn at(position: u64) -> Horizon {
-    let mut horizon = Horizon::default();
+fn at(position: u64) -> KnownPositions {
+    let mut horizon = KnownPositions::default();
     horizon.advance(position);
     horizon
 }
@@ -13,11 +13,11 @@
 #[test]
 fn an_older_copy_is_not_taken_once_the_history_is_gone() {
     let mut horizon = at(20);
-    horizon.lose();
+    horizon.reset();
     assert_eq!(horizon.position(), None, "everything has to be read");
     assert!(!horizon.accepts(19));
     assert!(horizon.accepts(20));
-    assert!(Horizon::default().accepts(1), "nothing is known yet");
+    assert!(KnownPositions::default().accepts(1), "nothing is known yet");
 }
 
 #[test]
@@ -30,7 +30,7 @@
     assert!(!horizon.follow_upstreams(22, 23), "a gap");
     assert_eq!(horizon.upstreams(), Some(21));
     let mut lost = horizon;
-    lost.lose();
+    lost.reset();
     assert!(!lost.follow_upstreams(10, 21));
     assert_eq!(lost.upstreams(), None);
 }
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use mangofront_gateway::{EventFramer, PublishedOptions, SecondSendBudget, SecondSendLimit};
+use mangofront_gateway::{EventFramer, PublishedOptions, RetryBudget, RetryLimit};
 use mangofront_settings::process::LEAST_CHANGE_BOUND;
 use quickcheck::QuickCheck;
 
@@ -79,20 +79,24 @@
 
 #[test]
 fn second_sends_are_bounded_by_requests_and_daemons() {
-    let limit = SecondSendLimit {
+    let limit = RetryLimit {
         ratio: 0.2,
         slack: 100.0,
         window: Duration::from_secs(10),
     };
-    let budget = SecondSendBudget::new(limit);
+    let budget = RetryBudget::new(limit);
     let now = Instant::now();
-    let taken = |daemons, at| (0..1_000).filter(|_| budget.take("a", daemons, at)).count();
+    let taken = |daemons, at| {
+        (0..1_000)
+            .filter(|_| budget.try_take("a", daemons, at))
+            .count()
+    };
     // Seven tenths of a tenth of the slack.
     assert_eq!(taken(10, now), 7);
-    (0..100).for_each(|_| budget.request("a", now));
+    (0..100).for_each(|_| budget.record_request("a", now));
     // And of a fifth of the requests.
     assert_eq!(taken(10, now), 14);
-    assert!(budget.take("b", 10, now), "each service has its own");
+    assert!(budget.try_take("b", 10, now), "each service has its own");
     assert_eq!(
         taken(10, now + Duration::from_secs(11)),
         7,
@@ -103,18 +107,18 @@
 #[test]
 fn all_daemons_together_keep_to_the_limit() {
     fn property(requests: Vec<u8>, daemons: u8) -> bool {
-        let limit = SecondSendLimit::default();
+        let limit = RetryLimit::default();
         let now = Instant::now();
         let daemons = usize::from(daemons).max(1);
         let mut sent = 0;
         let mut total = 0.0;
         for place in 0..daemons {
-            let budget = SecondSendBudget::new(limit);
+            let budget = RetryBudget::new(limit);
             let own = requests.get(place).copied().unwrap_or(0);
-            (0..own).for_each(|_| budget.request("a", now));
+            (0..own).for_each(|_| budget.record_request("a", now));
             total += f64::from(own);
             sent += (0..1_000)
-                .filter(|_| budget.take("a", daemons, now))
+                .filter(|_| budget.try_take("a", daemons, now))
                 .count();
         }
         sent as f64 <= limit.ratio * total + limit.slack
@@ -130,8 +134,8 @@
 #[test]
 fn a_neighbour_out_of_touch_is_not_believed_for_long() {
     let options = PublishedOptions::for_bounds(Duration::from_secs(5), Duration::from_secs(2));
-    let asked_after = options.told_age_limit + options.ask_period;
-    assert!(options.told_age_limit > options.watch_wait);
+    let asked_after = options.confirmation_age_limit + options.query_period;
+    assert!(options.confirmation_age_limit > options.watch_wait);
     assert!(asked_after < Duration::from_secs(2), "{asked_after:?}");
 }
 
@@ -144,8 +148,8 @@
         let lease = Duration::from_millis(100 + u64::from(lease_ms));
         let bound = LEAST_CHANGE_BOUND + Duration::from_millis(u64::from(bound_ms));
         let options = PublishedOptions::for_bounds(lease, bound);
-        let is_believed = options.told_age_limit > options.watch_wait;
-        is_believed && options.acted_on_within() <= bound && options.lapse_grace < bound
+        let is_believed = options.confirmation_age_limit > options.watch_wait;
+        is_believed && options.reaction_bound() <= bound && options.lapse_grace < bound
     }
     QuickCheck::new()
         .tests(2_000)
--- a/crates/gateway/tests/registrations.rs
+++ b/crates/gateway/tests/registrations.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 use mangofront_gateway::{
-    Answered, Contact, Missing, Registered, Registrations, Removal, Standing,
+    AnsweredPeriod, RegisterOutcome, RegistrationState, Registrations, Removal, RemovalOutcome,
+    SourceAvailability,
 };
 use mangofront_routes::Upstream;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -39,13 +40,13 @@
     let mut registrations = Registrations::default();
     registrations.register(upstream(1, false), Duration::ZERO);
     let id = "i-1".to_owned();
-    let missing = registrations.miss(&id, Removal::seen_at(MISSING_AT), Some(until));
-    assert_eq!(missing, Missing::Kept(until));
-    assert_eq!(registrations.used().count(), 1);
+    let missing = registrations.mark_missing(&id, Removal::observed_at(MISSING_AT), Some(until));
+    assert_eq!(missing, RemovalOutcome::InGrace(until));
+    assert_eq!(registrations.in_use().count(), 1);
     assert_eq!(registrations.published().count(), 0);
-    assert!(!registrations.end_keeping(&id, now), "not yet");
-    assert!(registrations.end_keeping(&id, until));
-    assert_eq!(registrations.used().count(), 0);
+    assert!(!registrations.end_grace(&id, now), "not yet");
+    assert!(registrations.end_grace(&id, until));
+    assert_eq!(registrations.in_use().count(), 0);
 }
 
 #[test]
@@ -54,9 +55,9 @@
     registrations.register(upstream(1, true), Duration::ZERO);
     let until = Instant::now() + KEPT;
     let id = "i-1".to_owned();
-    let missing = registrations.miss(&id, Removal::seen_at(MISSING_AT), Some(until));
-    assert_eq!(missing, Missing::Removed);
-    assert_eq!(registrations.used().count(), 0);
+    let missing = registrations.mark_missing(&id, Removal::observed_at(MISSING_AT), Some(until));
+    assert_eq!(missing, RemovalOutcome::Removed);
+    assert_eq!(registrations.in_use().count(), 0);
 }
 
 /// Guards against a departure that is put off where only the removal after it is heard of.
@@ -64,21 +65,27 @@
 fn one_that_others_know_to_have_left_is_not_kept() {
     let until = Some(Instant::now() + KEPT);
     let id = "i-1".to_owned();
-    let seen = Removal::seen_at(MISSING_AT);
+    let seen = Removal::observed_at(MISSING_AT);
     let announced = Removal {
         is_announced: true,
         ..seen
     };
     let mut registrations = Registrations::default();
     registrations.register(upstream(1, false), Duration::ZERO);
-    assert_eq!(registrations.miss(&id, announced, until), Missing::Removed);
-    assert_eq!(registrations.used().count(), 0);
+    assert_eq!(
+        registrations.mark_missing(&id, announced, until),
+        RemovalOutcome::Removed
+    );
+    assert_eq!(registrations.in_use().count(), 0);
     let mut registrations = Registrations::default();
     registrations.register(upstream(1, false), Duration::ZERO);
-    let kept = registrations.miss(&id, seen, until);
-    assert!(matches!(kept, Missing::Kept(_)), "{kept:?}");
-    assert_eq!(registrations.miss(&id, announced, until), Missing::Removed);
-    assert_eq!(registrations.used().count(), 0);
+    let kept = registrations.mark_missing(&id, seen, until);
+    assert!(matches!(kept, RemovalOutcome::InGrace(_)), "{kept:?}");
+    assert_eq!(
+        registrations.mark_missing(&id, announced, until),
+        RemovalOutcome::Removed
+    );
+    assert_eq!(registrations.in_use().count(), 0);
 }
 
 /// Guards against a departure that is forgotten with the registration that told it.
@@ -87,15 +94,15 @@
     let id = "i-1".to_owned();
     let is_announced = |registrations: &Registrations| {
         let record = registrations.record(&id);
-        record.is_some_and(|record| record.standing.is_announced())
+        record.is_some_and(|record| record.state.is_announced())
     };
     let mut registrations = Registrations::default();
     registrations.register(upstream(1, true), Duration::ZERO);
-    registrations.miss(&id, Removal::seen_at(MISSING_AT), None);
+    registrations.mark_missing(&id, Removal::observed_at(MISSING_AT), None);
     assert!(is_announced(&registrations));
-    registrations.miss(&id, Removal::seen_at(MISSING_AT), None);
+    registrations.mark_missing(&id, Removal::observed_at(MISSING_AT), None);
     assert!(is_announced(&registrations), "heard of again");
-    registrations.miss(&id, Removal::seen_at(MISSING_AT + 2), None);
+    registrations.mark_missing(&id, Removal::observed_at(MISSING_AT + 2), None);
     assert!(!is_announced(&registrations), "there was another life");
 }
 
@@ -105,16 +112,16 @@
     let mut registrations = Registrations::default();
     let id = "i-1".to_owned();
     registrations.register(upstream(1, false), Duration::ZERO);
-    registrations.miss(&id, Removal::seen_at(MISSING_AT), Some(until));
+    registrations.mark_missing(&id, Removal::observed_at(MISSING_AT), Some(until));
     let back = Upstream {
         registered_at: MISSING_AT + 1,
         ..upstream(1, false)
     };
     assert_eq!(
         registrations.register(back, Duration::ZERO),
-        Registered::Unchanged
+        RegisterOutcome::Unchanged
     );
-    assert!(!registrations.end_keeping(&id, until));
+    assert!(!registrations.end_grace(&id, until));
     assert_eq!(registrations.published().count(), 1);
 }
 
@@ -163,18 +170,18 @@
                 Step::Gone(id) => {
                     let id = format!("i-{id}");
                     source.remove(&id);
-                    first.miss(&id, Removal::seen_at(position), until);
+                    first.mark_missing(&id, Removal::observed_at(position), until);
                 }
                 Step::Copied => {
                     let copied: Vec<Upstream> = first.published().cloned().collect();
                     let missing = names(second.published());
                     for id in &missing - &names(copied.iter()) {
-                        second.miss(&id, Removal::seen_at(position), None);
+                        second.mark_missing(&id, Removal::observed_at(position), None);
                     }
                     for one in copied {
                         second.register(one, Duration::ZERO);
                     }
-                    return names(second.used()) == source;
+                    return names(second.in_use()) == source;
                 }
             }
             names(first.published()) == source
@@ -214,7 +221,7 @@
             .rev()
             .for_each(|one| state(&mut daemon, *one));
         let leaving = |registrations: &Registrations| -> BTreeSet<(String, bool)> {
-            let used = registrations.used();
+            let used = registrations.in_use();
             used.map(|one| (one.id.clone(), one.leaving)).collect()
         };
         leaving(&daemon) == leaving(&source)
@@ -235,7 +242,7 @@
             registrations.register(registered, Duration::ZERO);
         }
         None => {
-            registrations.miss(&format!("i-{id}"), Removal::seen_at(position), None);
+            registrations.mark_missing(&format!("i-{id}"), Removal::observed_at(position), None);
         }
     }
 }
@@ -246,13 +253,13 @@
 fn a_removal_that_may_be_forgotten_is_not_left_out_silently() {
     let mut registrations = Registrations::default();
     for number in 1..=5_000_u64 {
-        registrations.miss(&format!("i-{number}"), Removal::seen_at(number), None);
+        registrations.mark_missing(&format!("i-{number}"), Removal::observed_at(number), None);
     }
     assert!(registrations.changes_after(1).is_none());
     let latest: Vec<u64> = registrations
         .changes_after(4_990)
         .expect("the latest are known")
-        .filter(|(_, record)| matches!(record.standing, Standing::Removed { .. }))
+        .filter(|(_, record)| matches!(record.state, RegistrationState::Removed { .. }))
         .map(|(_, record)| record.position)
         .collect();
     assert_eq!(latest.len(), 10);
@@ -262,14 +269,14 @@
 #[test]
 fn keeping_ends_a_moment_after_the_contact_is_regained() {
     let now = Instant::now();
-    let mut contact = Contact::default();
-    contact.answered(now, now);
+    let mut contact = SourceAvailability::default();
+    contact.record_answer(now, now);
     assert_eq!(contact.keep_until(now, KEPT), None, "never out of touch");
-    contact.failed();
+    contact.record_failure();
     assert_eq!(contact.keep_until(now, KEPT), Some(now + KEPT));
-    contact.answered(now, now);
+    contact.record_answer(now, now);
     let later = now + KEPT / 2;
-    contact.answered(later, later);
+    contact.record_answer(later, later);
     assert_eq!(contact.keep_until(later, KEPT), Some(now + KEPT));
     assert_eq!(contact.keep_until(now + KEPT, KEPT), None);
 }
@@ -280,26 +287,26 @@
 fn what_another_saw_answered_is_no_outage() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let other = |since_ms, until_ms| Answered {
+    let other = |since_ms, until_ms| AnsweredPeriod {
         since: at(since_ms),
         until: at(until_ms),
     };
-    let mut contact = Contact::default();
-    contact.answered(at(0), at(1_000));
-    contact.failed();
+    let mut contact = SourceAvailability::default();
+    contact.record_answer(at(0), at(1_000));
+    contact.record_failure();
     assert!(
         contact.keep_until(at(1_500), KEPT).is_some(),
         "nobody told yet"
     );
-    contact.heard(other(900, 1_600), at(1_600));
+    contact.merge(other(900, 1_600), at(1_600));
     assert_eq!(contact.keep_until(at(1_600), KEPT), None);
-    contact.failed();
-    contact.answered(at(2_000), at(2_000));
+    contact.record_failure();
+    contact.record_answer(at(2_000), at(2_000));
     assert!(
         contact.keep_until(at(2_000), KEPT).is_some(),
         "an outage from 1.6 s on"
     );
-    contact.heard(other(900, 2_100), at(2_100));
+    contact.merge(other(900, 2_100), at(2_100));
     assert_eq!(contact.keep_until(at(2_100), KEPT), None, "it was none");
 }
 
@@ -308,14 +315,14 @@
 fn an_outage_ends_with_the_first_answer_that_anybody_had() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut contact = Contact::default();
-    contact.answered(at(0), at(1_000));
-    contact.failed();
-    let other = Answered {
+    let mut contact = SourceAvailability::default();
+    contact.record_answer(at(0), at(1_000));
+    contact.record_failure();
+    let other = AnsweredPeriod {
         since: at(2_000),
         until: at(2_200),
     };
-    contact.heard(other, at(2_200));
+    contact.merge(other, at(2_200));
     assert_eq!(contact.keep_until(at(2_300), KEPT), Some(at(2_000) + KEPT));
 }
 
@@ -325,13 +332,13 @@
 fn a_daemon_that_was_cut_off_gives_upstreams_time_to_come_back() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut contact = Contact::default();
-    contact.answered(at(0), at(1_000));
-    contact.failed();
-    let other = Answered {
+    let mut contact = SourceAvailability::default();
+    contact.record_answer(at(0), at(1_000));
+    contact.record_failure();
+    let other = AnsweredPeriod {
         since: at(0),
         until: at(8_900),
     };
-    contact.heard(other, at(9_000));
+    contact.merge(other, at(9_000));
     assert_eq!(contact.keep_until(at(9_000), KEPT), Some(at(9_000) + KEPT));
 }
