--- a/crates/engines/examples/choice_cost.rs
+++ b/crates/engines/examples/choice_cost.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use futures_channel::mpsc::unbounded;
-use mangofront_engines::{ChoiceOptions, Demand, NoUpstream, Placed, Upstreams};
-use mangofront_routes::{EngineFigures, Upstream};
+use mangofront_engines::{ChoiceOptions, Demand, NoUpstream, Placement, Upstreams};
+use mangofront_routes::{EngineProfile, Upstream};
 
 const SERVICE: &str = "assist-llm";
 
@@ -48,23 +48,23 @@
 
 /// A daemon that has heard of what another one has the engines answer, and that other one's
 /// requests.
-fn busy_fleet(engines: u16) -> Result<(Upstreams, Vec<Placed>), NoUpstream> {
+fn busy_fleet(engines: u16) -> Result<(Upstreams, Vec<Placement>), NoUpstream> {
     let speed = HashMap::from([(SERVICE.to_owned(), Rc::new(figures()))]);
     let (tell, mut news) = unbounded();
     let (tell_nobody, _) = unbounded();
     let [other, upstreams] = [(2, tell), (1, tell_nobody)].map(|(salt, tell)| {
         let daemon = Upstreams::new(ChoiceOptions::default(), "hall-a".to_owned(), salt, tell);
-        daemon.set_known((0..engines).map(engine), &speed);
+        daemon.set_published((0..engines).map(engine), &speed);
         daemon
     });
     let mut answered = Vec::new();
     for _ in 0..engines * REQUESTS_PER_ENGINE {
         let mut placed = other.place(SERVICE, &demand(5_000, 300), &[])?;
-        placed.first_event();
+        placed.record_first_event();
         answered.push(placed);
     }
     while let Ok(told) = news.try_recv() {
-        upstreams.hear(OTHER, told);
+        upstreams.apply_update(OTHER, told);
     }
     Ok((upstreams, answered))
 }
@@ -82,17 +82,17 @@
     }
 }
 
-fn figures() -> EngineFigures {
-    EngineFigures {
+fn figures() -> EngineProfile {
+    EngineProfile {
         slots: 12,
         memory_tokens: 382_500,
         steps_per_pass: 52,
         step: Duration::from_micros(925),
         step_per_request_ms: 0.004_83,
         step_per_context_k_ms: 0.002_54,
-        read_tokens_per_s: 256_000.0,
-        read_per_pairs_m_ms: 0.091_7,
-        read_chunk_tokens: 2_048,
+        prefill_tokens_per_s: 256_000.0,
+        prefill_per_pairs_m_ms: 0.091_7,
+        prefill_chunk_tokens: 2_048,
         step_per_spread_prompt_ms: 0.1,
     }
 }
--- a/crates/engines/examples/embed.rs
+++ b/crates/engines/examples/embed.rs
@@ -10,7 +10,7 @@
 
 use futures_channel::mpsc::unbounded;
 use mangofront_engines::{ChoiceOptions, Demand, Upstreams};
-use mangofront_routes::{EngineFigures, Upstream};
+use mangofront_routes::{EngineProfile, Upstream};
 
 const SERVICE: &str = "assist-llm";
 
@@ -26,18 +26,18 @@
     );
     let speed = HashMap::from([(SERVICE.to_owned(), Rc::new(figures()))]);
     for daemon in [&one, &other] {
-        daemon.set_known((0..8).map(engine), &speed);
+        daemon.set_published((0..8).map(engine), &speed);
     }
     let question = one.place(SERVICE, &demand(5_000, 300), &[])?;
     let review = one.place(SERVICE, &demand(150_000, 2_500), &[])?;
     println!(
         "a question goes to {}, a review to {} engines, first event in {:?}",
         question.answering().id,
-        review.readers.len(),
+        review.shares.len(),
         review.expected_first_event
     );
     while let Ok(told) = news.try_recv() {
-        other.hear(1, told);
+        other.apply_update(1, told);
     }
     let busy = other
         .status()
@@ -47,7 +47,7 @@
     println!("the other daemon knows of {busy} busy engines");
     drop((question, review));
     while let Ok(told) = news.try_recv() {
-        other.hear(1, told);
+        other.apply_update(1, told);
     }
     let busy = other
         .status()
@@ -71,17 +71,17 @@
     }
 }
 
-fn figures() -> EngineFigures {
-    EngineFigures {
+fn figures() -> EngineProfile {
+    EngineProfile {
         slots: 16,
         memory_tokens: 232_000,
         steps_per_pass: 43,
         step: Duration::from_micros(1_020),
         step_per_request_ms: 0.002,
         step_per_context_k_ms: 0.004,
-        read_tokens_per_s: 206_000.0,
-        read_per_pairs_m_ms: 0.138,
-        read_chunk_tokens: 2_048,
+        prefill_tokens_per_s: 206_000.0,
+        prefill_per_pairs_m_ms: 0.138,
+        prefill_chunk_tokens: 2_048,
         step_per_spread_prompt_ms: 0.075,
     }
 }
--- a/crates/engines/src/choose.rs
+++ b/crates/engines/src/choose.rs
@@ -5,12 +5,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mangofront_routes::{EngineFigures, Upstream};
+use mangofront_routes::{EngineProfile, Upstream};
 use mangofront_settings::process::ChoiceOptions;
 use thiserror::Error;
 
 use crate::layout::lay_out;
-use crate::shares::RequestName;
+use crate::shares::RequestFingerprint;
 use crate::upstream::{Known, Load};
 use crate::verdict::{Forecast, ServedWithout, Verdict, judge};
 use crate::weigh::{Weighing, read_after_ms};
@@ -34,7 +34,7 @@
     /// Time after which the request has ended for certain.
     pub time_left: Duration,
     /// Names the request over all the times that its caller sends it.
-    pub request: RequestName,
+    pub request: RequestFingerprint,
     /// Whether it may be refused: nothing of it was sent yet, which has cost engines.
     pub is_refusable: bool,
     /// Addresses to which a connection is open that the request can take.
@@ -81,7 +81,7 @@
 
 /// One upstream's share in a request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reader {
+pub struct Share {
     /// The upstream.
     pub upstream: Upstream,
     /// Memory to be reserved there, in tokens; none where the request needs no reservation.
@@ -117,7 +117,7 @@
 /// The choice for one request.
 #[derive(Debug)]
 pub(crate) struct Choice {
-    pub(crate) readers: Vec<Reader>,
+    pub(crate) shares: Vec<Share>,
     pub(crate) parts: Vec<Part>,
     pub(crate) first_event_ms: f64,
     /// Longest queue before the chosen upstreams, in milliseconds.
@@ -160,7 +160,7 @@
     };
     let best = candidates.iter().min_by_key(|candidate| order(candidate))?;
     Some(Choice {
-        readers: vec![Reader {
+        shares: vec![Share {
             upstream: best.known.info.clone(),
             reserve_tokens: None,
         }],
@@ -178,7 +178,7 @@
 /// Chooses the engine that answers and those that read parts of the prompt.
 pub(crate) fn choose_engines(
     candidates: &[Candidate<'_>],
-    figures: &Rc<EngineFigures>,
+    figures: &Rc<EngineProfile>,
     demand: &Demand,
     options: &ChoiceOptions,
     circumstances: Circumstances<'_>,
@@ -186,7 +186,7 @@
     if !candidates.iter().any(|one| one.has_slot(options)) {
         return Err(NoUpstream::Full);
     }
-    let read_ms = figures.read_ms(demand.prompt_tokens);
+    let read_ms = figures.prefill_ms(demand.prompt_tokens);
     let has_waited = demand.waited >= demand.target.mul_f64(options.wait_targets);
     let weighing = Weighing::new(candidates.len(), demand, options, circumstances);
     let chosen = choose_readers(candidates, &weighing, read_ms, demand, circumstances)?;
--- a/crates/engines/src/crashes.rs
+++ b/crates/engines/src/crashes.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use crate::shares::RequestName;
+use crate::shares::RequestFingerprint;
 use crate::work::UpstreamKey;
 
 /// Crashes under one request after which it is kept from all upstreams.
@@ -41,7 +41,7 @@
 
 /// Whether a request may be sent to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineState {
     /// Upstreams may run it; `crashes` crashed while they did.
     Open {
         /// Upstreams that crashed under it.
@@ -50,21 +50,21 @@
     /// It is kept from all upstreams.
     Quarantined {
         /// Time until it may be tried again.
-        left: Duration,
+        remaining: Duration,
     },
     /// It may be tried again by one daemon.
-    OnTrial,
+    TrialAllowed,
 }
 
 /// A request under which upstreams crashed, for a status page.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashStatus {
     /// The request.
-    pub request: RequestName,
+    pub request: RequestFingerprint,
     /// Upstreams that crashed under it.
     pub crashes: usize,
     /// Whether it may be sent.
-    pub standing: Standing,
+    pub quarantine: QuarantineState,
 }
 
 /// What is known of one request.
@@ -99,10 +99,10 @@
         last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last))
     }
 
-    fn standing(&self, now: Instant) -> Standing {
+    fn quarantine_state(&self, now: Instant) -> QuarantineState {
         let crashes = self.crashes();
         let Some(doublings) = crashes.checked_sub(CRASHES_LIMIT) else {
-            return Standing::Open { crashes };
+            return QuarantineState::Open { crashes };
         };
         let doublings = u32::try_from(doublings).unwrap_or(u32::MAX);
         let factor = 2_u32.saturating_pow(doublings);
@@ -112,8 +112,8 @@
             .trial_until
             .map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
         match left.max(trial_left) {
-            Duration::ZERO => Standing::OnTrial,
-            left => Standing::Quarantined { left },
+            Duration::ZERO => QuarantineState::TrialAllowed,
+            remaining => QuarantineState::Quarantined { remaining },
         }
     }
 }
@@ -130,12 +130,12 @@
 /// Requests under which upstreams crashed.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes {
-    kept: HashMap<RequestName, Kept>,
+    kept: HashMap<RequestFingerprint, Kept>,
 }
 
 impl Crashes {
     /// Notes that an upstream crashed under a request that this daemon had sent there.
-    pub(crate) fn note(&mut self, request: RequestName, life: UpstreamKey, now: Instant) {
+    pub(crate) fn note(&mut self, request: RequestFingerprint, life: UpstreamKey, now: Instant) {
         self.make_room(request, now);
         let kept = self.kept.entry(request).or_default();
         kept.is_witnessed = true;
@@ -147,7 +147,7 @@
     }
 
     /// Notes that a request is not at fault for the crashes so far; whether there were any.
-    pub(crate) fn clear(&mut self, request: RequestName) -> bool {
+    pub(crate) fn clear(&mut self, request: RequestFingerprint) -> bool {
         let Some(kept) = self.kept.get_mut(&request) else {
             return false;
         };
@@ -158,7 +158,7 @@
     }
 
     /// Takes in what another daemon told of a request.
-    pub(crate) fn merge(&mut self, request: RequestName, record: &Record, now: Instant) {
+    pub(crate) fn merge(&mut self, request: RequestFingerprint, record: &Record, now: Instant) {
         self.make_room(request, now);
         let kept = self.kept.entry(request).or_default();
         kept.forget_cleared();
@@ -182,7 +182,7 @@
 
     /// Whether a request was cleared here for crashes for which a teller still holds it at
     /// fault, so that it has missed news.
-    pub(crate) fn has_cleared_more(&self, request: RequestName, record: &Record) -> bool {
+    pub(crate) fn has_cleared_more(&self, request: RequestFingerprint, record: &Record) -> bool {
         let is_unheard =
             |life: &UpstreamKey| record.crashed.contains(life) && !record.cleared.contains(life);
         let kept = self.kept.get(&request);
@@ -190,20 +190,26 @@
     }
 
     /// Whether a request may be sent.
-    pub(crate) fn standing(&self, request: RequestName, now: Instant) -> Standing {
+    pub(crate) fn quarantine_state(
+        &self,
+        request: RequestFingerprint,
+        now: Instant,
+    ) -> QuarantineState {
         let kept = self.kept.get(&request);
-        kept.map_or(Standing::Open { crashes: 0 }, |kept| kept.standing(now))
+        kept.map_or(QuarantineState::Open { crashes: 0 }, |kept| {
+            kept.quarantine_state(now)
+        })
     }
 
     /// Keeps others from beginning a trial while this one runs.
-    pub(crate) fn begin_trial(&mut self, request: RequestName, now: Instant) {
+    pub(crate) fn begin_trial(&mut self, request: RequestFingerprint, now: Instant) {
         if let Some(kept) = self.kept.get_mut(&request) {
             kept.trial_until = Some(now + TRIAL_TIME);
         }
     }
 
     /// What others have to hear of a request.
-    pub(crate) fn record(&self, request: RequestName, now: Instant) -> Option<Record> {
+    pub(crate) fn record(&self, request: RequestFingerprint, now: Instant) -> Option<Record> {
         let kept = self.kept.get(&request)?;
         Some(Record {
             crashed: kept.crashed.iter().copied().collect(),
@@ -214,9 +220,9 @@
 
     /// The `count` requests with most crashes of which others may not have heard: those
     /// that this daemon has seen itself, or all.
-    pub(crate) fn worst(&self, count: usize, only_witnessed: bool) -> Vec<RequestName> {
+    pub(crate) fn worst(&self, count: usize, only_witnessed: bool) -> Vec<RequestFingerprint> {
         let is_told = |kept: &&Kept| kept.crashes() > 0 && (kept.is_witnessed || !only_witnessed);
-        let mut worst: Vec<(usize, RequestName)> = self
+        let mut worst: Vec<(usize, RequestFingerprint)> = self
             .kept
             .iter()
             .filter(|(_, kept)| is_told(kept))
@@ -229,10 +235,10 @@
 
     /// Requests that are kept from upstreams, or were and are not cleared.
     pub(crate) fn status(&self, now: Instant) -> Vec<CrashStatus> {
-        let of = |(request, kept): (&RequestName, &Kept)| CrashStatus {
+        let of = |(request, kept): (&RequestFingerprint, &Kept)| CrashStatus {
             request: *request,
             crashes: kept.crashes(),
-            standing: kept.standing(now),
+            quarantine: kept.quarantine_state(now),
         };
         let mut status: Vec<CrashStatus> = self.kept.iter().map(of).collect();
         status.retain(|one| one.crashes >= CRASHES_LIMIT);
@@ -241,7 +247,7 @@
     }
 
     /// Forgets old requests, and where there are too many the one with fewest crashes.
-    fn make_room(&mut self, request: RequestName, now: Instant) {
+    fn make_room(&mut self, request: RequestFingerprint, now: Instant) {
         if self.kept.len() < KEPT_LIMIT || self.kept.contains_key(&request) {
             return;
         }
--- a/crates/engines/src/health.rs
+++ b/crates/engines/src/health.rs
@@ -47,12 +47,12 @@
     }
 
     /// Notes an answer.
-    pub(crate) fn answered(&mut self) {
+    pub(crate) fn record_answer(&mut self) {
         *self = Self::default();
     }
 
     /// Notes a failure; returns how long the upstream is left out.
-    pub(crate) fn failed(
+    pub(crate) fn record_failure(
         &mut self,
         failure: Failure,
         now: Instant,
--- a/crates/engines/src/layout.rs
+++ b/crates/engines/src/layout.rs
@@ -2,10 +2,10 @@
 
 use std::rc::Rc;
 
-use mangofront_routes::EngineFigures;
+use mangofront_routes::EngineProfile;
 use mangofront_settings::process::ChoiceOptions;
 
-use crate::choose::{Candidate, Choice, Demand, NoUpstream, Reader};
+use crate::choose::{Candidate, Choice, Demand, NoUpstream, Share};
 use crate::weigh::pass_ms;
 use crate::work::Part;
 
@@ -31,7 +31,7 @@
     candidates: &[Candidate<'_>],
     chosen: &[usize],
     others: &[usize],
-    figures: &Rc<EngineFigures>,
+    figures: &Rc<EngineProfile>,
     demand: &Demand,
     options: &ChoiceOptions,
     has_waited: bool,
@@ -119,16 +119,16 @@
     candidates: &[Candidate<'_>],
     order: &[usize],
     reserved: &[Option<u64>],
-    figures: &Rc<EngineFigures>,
+    figures: &Rc<EngineProfile>,
     demand: &Demand,
 ) -> Choice {
     let count = order.len() as u64;
-    let read_ms = figures.read_ms(demand.prompt_tokens) / count as f64;
+    let read_ms = figures.prefill_ms(demand.prompt_tokens) / count as f64;
     let reserved_tokens: u64 = reserved.iter().flatten().sum();
     let kept_tokens = demand.prompt_tokens.saturating_sub(reserved_tokens);
     let mut first_event_ms = 0.0_f64;
     let mut queue_ms = 0.0_f64;
-    let mut readers = Vec::with_capacity(order.len());
+    let mut shares = Vec::with_capacity(order.len());
     let mut parts = Vec::with_capacity(order.len());
     for (place, index) in order.iter().enumerate() {
         let candidate = &candidates[*index];
@@ -147,7 +147,7 @@
             memory_tokens,
             context_tokens,
         });
-        readers.push(Reader {
+        shares.push(Share {
             upstream: candidate.known.info.clone(),
             reserve_tokens: reserved[place],
         });
@@ -155,7 +155,7 @@
     let load = &candidates[order[0]].load;
     first_event_ms += figures.pass_ms(load.writers + 1, load.context_tokens + kept_tokens);
     Choice {
-        readers,
+        shares,
         parts,
         first_event_ms,
         queue_ms,
--- a/crates/engines/src/lib.rs
+++ b/crates/engines/src/lib.rs
@@ -14,7 +14,7 @@
 //! load some engines stay free of long parts.
 //!
 //! Nothing in here does input or output. What other daemons should hear comes
-//! out of a channel as [`News`], and goes in by [`Upstreams::hear`].
+//! out of a channel as [`LoadUpdate`], and goes in by [`Upstreams::apply_update`].
 
 mod arrivals;
 mod choose;
@@ -32,12 +32,12 @@
 mod weigh;
 mod work;
 
-pub use choose::{Demand, NoUpstream, Reader};
-pub use crashes::{CrashStatus, Standing};
+pub use choose::{Demand, NoUpstream, Share};
+pub use crashes::{CrashStatus, QuarantineState};
 pub use health::Failure;
 pub use mangofront_settings::process::ChoiceOptions;
-pub use news::{News, Origin};
-pub use placed::Placed;
-pub use shares::{Progress, RequestName, Size};
+pub use news::{IncarnationId, LoadUpdate};
+pub use placed::Placement;
+pub use shares::{Progress, RequestFingerprint, SizeClass};
 pub use upstreams::{Clock, UpstreamStatus, Upstreams};
 pub use work::{UpstreamKey, WorkId, key_of};
--- a/crates/engines/src/news.rs
+++ b/crates/engines/src/news.rs
@@ -1,6 +1,6 @@
 //! What daemons tell each other of their placements.
 //!
-//! News may be lost, doubled or late: work that is heard of expires by itself,
+//! LoadUpdate may be lost, doubled or late: work that is heard of expires by itself,
 //! and an end that comes before its beginning is harmless.
 
 use std::time::Duration;
@@ -8,21 +8,21 @@
 use serde::{Deserialize, Serialize};
 
 use crate::crashes::Record;
-use crate::shares::{Progress, RequestName, Size};
+use crate::shares::{Progress, RequestFingerprint, SizeClass};
 use crate::work::{Part, UpstreamKey, Work, WorkId};
 
 /// One life of a daemon that tells news.
-pub type Origin = u64;
+pub type IncarnationId = u64;
 
 /// One piece of news.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum LoadUpdate {
     /// A request was placed.
     Placed {
         /// Number of the request.
         work: WorkId,
         /// Parts; the first one's upstream answers.
-        parts: Vec<PartNews>,
+        parts: Vec<ShareUpdate>,
         /// Longest pause between events of an answer in time, in milliseconds.
         gap_ms: u32,
         /// Time until the first event is expected, in milliseconds.
@@ -31,7 +31,8 @@
         expires_in_ms: u32,
     },
     /// A request's first event came.
-    Read {
+    #[serde(rename = "Read")]
+    FirstEvent {
         /// Number of the request.
         work: WorkId,
     },
@@ -52,16 +53,16 @@
     /// What became of one of the largest prompts.
     Progress {
         /// The request.
-        request: RequestName,
+        request: RequestFingerprint,
         /// Its size.
-        size: Size,
+        size: SizeClass,
         /// What became of it.
         progress: Progress,
     },
     /// Upstreams crashed under a request; all that the teller knows of it.
     Crashes {
         /// The request.
-        request: RequestName,
+        request: RequestFingerprint,
         /// Lives of upstreams that ended under it.
         crashed: Vec<UpstreamKey>,
         /// Those of them for which it was cleared since.
@@ -80,7 +81,7 @@
 
 /// One part of a request that was placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartNews {
+pub struct ShareUpdate {
     /// The upstream that reads it.
     pub upstream: UpstreamKey,
     /// Time to read it, in microseconds.
@@ -96,8 +97,8 @@
     work: &Work,
     expected: Duration,
     time_left: Duration,
-) -> News {
-    News::Placed {
+) -> LoadUpdate {
+    LoadUpdate::Placed {
         work: id,
         parts: work.parts.iter().map(part_news).collect(),
         gap_ms: work.gap_ms as u32,
@@ -106,8 +107,8 @@
     }
 }
 
-fn part_news(part: &Part) -> PartNews {
-    PartNews {
+fn part_news(part: &Part) -> ShareUpdate {
+    ShareUpdate {
         upstream: part.upstream,
         read_us: (part.read_ms * 1_000.0) as u32,
         memory_tokens: u32::try_from(part.memory_tokens).unwrap_or(u32::MAX),
@@ -115,7 +116,7 @@
     }
 }
 
-pub(crate) fn part_of(news: &PartNews) -> Part {
+pub(crate) fn part_of(news: &ShareUpdate) -> Part {
     Part {
         upstream: news.upstream,
         read_ms: f64::from(news.read_us) / 1_000.0,
@@ -124,8 +125,8 @@
     }
 }
 
-pub(crate) fn crashes_news(request: RequestName, record: Record) -> News {
-    News::Crashes {
+pub(crate) fn crashes_news(request: RequestFingerprint, record: Record) -> LoadUpdate {
+    LoadUpdate::Crashes {
         request,
         crashed: record.crashed,
         cleared: record.cleared,
--- a/crates/engines/src/shares.rs
+++ b/crates/engines/src/shares.rs
@@ -16,7 +16,7 @@
 /// Names a request over all the times that its caller sends it.
 ///
 /// Wide enough that nobody can find another request of the same name.
-pub type RequestName = u128;
+pub type RequestFingerprint = u128;
 
 /// Time for which it is kept what became of a request: over two peaks and the time in
 /// which their callers come back.
@@ -32,16 +32,16 @@
 /// Sizes that are told apart within a doubling.
 const SIZES_A_DOUBLING: f64 = 1.5;
 
-/// Size of a prompt too long for one engine to read within its target, among those of the
+/// SizeClass of a prompt too long for one engine to read within its target, among those of the
 /// same service and target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Size {
+pub struct SizeClass {
     /// Short name of the service and the target.
     kind: u32,
     step: u8,
 }
 
-impl Size {
+impl SizeClass {
     /// The size of a prompt that one engine reads in `read_ms`; none if that is within
     /// its target.
     pub(crate) fn of(service: &str, read_ms: f64, target: Duration) -> Option<Self> {
@@ -86,31 +86,31 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Kept {
-    size: Size,
+    size: SizeClass,
     progress: Progress,
 }
 
 /// What became of the largest prompts lately.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
-    kept: HashMap<RequestName, Kept>,
+    kept: HashMap<RequestFingerprint, Kept>,
     /// In the order of their first news.
-    since: VecDeque<(Instant, RequestName)>,
-    tallies: HashMap<Size, Tally>,
+    since: VecDeque<(Instant, RequestFingerprint)>,
+    tallies: HashMap<SizeClass, Tally>,
 }
 
 impl Shares {
     /// Notes what became of a request; whether that is news.
     pub(crate) fn note(
         &mut self,
-        request: RequestName,
-        size: Size,
+        request: RequestFingerprint,
+        size: SizeClass,
         progress: Progress,
         now: Instant,
     ) -> bool {
         self.forget_old(now);
         let before = self.kept.get(&request).copied();
-        // News overtake each other, and nothing follows a whole answer.
+        // LoadUpdate overtake each other, and nothing follows a whole answer.
         if before.is_some_and(|before| {
             before.progress == progress || before.progress == Progress::Served
         }) {
@@ -131,8 +131,8 @@
     /// Whether at least `percent` of the requests of a size are served if this one is not.
     pub(crate) fn are_served_without(
         &self,
-        request: RequestName,
-        size: Size,
+        request: RequestFingerprint,
+        size: SizeClass,
         percent: u64,
     ) -> bool {
         let tally = self.tallies.get(&size).copied().unwrap_or_default();
--- a/crates/engines/src/state.rs
+++ b/crates/engines/src/state.rs
@@ -10,24 +10,24 @@
 use crate::choose::Demand;
 use crate::crashes::Crashes;
 use crate::lives::Lives;
-use crate::news::Origin;
-use crate::shares::{Shares, Size};
+use crate::news::IncarnationId;
+use crate::shares::{Shares, SizeClass};
 use crate::upstream::Known;
 use crate::verdict::ServedWithout;
 use crate::work::{UpstreamKey, Work, WorkId};
 
 /// Who placed a request: this daemon or another.
-pub(crate) type WorkKey = (Origin, WorkId);
+pub(crate) type WorkKey = (IncarnationId, WorkId);
 
-/// Origin of this daemon's own work.
-pub(crate) const OWN: Origin = 0;
+/// IncarnationId of this daemon's own work.
+pub(crate) const OWN: IncarnationId = 0;
 
 /// Silence after which a daemon's requests are forgotten: it tells of them each
 /// second, and a datagram or two may be lost.
 const SILENT_AFTER: Duration = Duration::from_millis(3_500);
 
 /// Silence after which a zone is left out. A quiet zone is tried before that, see
-/// [`crate::Upstreams::quiet_zones`], so this is about one connection attempt longer.
+/// [`crate::Upstreams::probe_targets`], so this is about one connection attempt longer.
 const ZONE_SILENT_AFTER: Duration = Duration::from_millis(1_100);
 
 /// Age up to which a request may be missing in a list that was on its way.
@@ -43,7 +43,7 @@
     /// When this daemon last placed a request.
     pub(crate) placed_at: Option<Instant>,
     /// When each other daemon was last heard.
-    pub(crate) heard: HashMap<Origin, Instant>,
+    pub(crate) heard: HashMap<IncarnationId, Instant>,
     /// When each other zone last showed that it can be reached.
     pub(crate) zones: HashMap<AvailabilityZone, Instant>,
     /// The life that each upstream is in.
@@ -94,24 +94,24 @@
     }
 
     /// Time since the daemon that was heard least lately.
-    pub(crate) fn oldest_news(&self, now: Instant) -> Duration {
+    pub(crate) fn oldest_update(&self, now: Instant) -> Duration {
         let oldest = self.heard.values().min();
         oldest.map_or(Duration::ZERO, |at| now.saturating_duration_since(*at))
     }
 
-    /// Size of a prompt, if it is among the largest.
-    pub(crate) fn size(&self, service: &str, demand: &Demand) -> Option<Size> {
+    /// SizeClass of a prompt, if it is among the largest.
+    pub(crate) fn size(&self, service: &str, demand: &Demand) -> Option<SizeClass> {
         let mut of_service = self.known.iter();
         let known = of_service.find(|known| known.info.service == service)?;
-        let read_ms = known.figures.as_ref()?.read_ms(demand.prompt_tokens);
-        Size::of(service, read_ms, demand.target)
+        let read_ms = known.figures.as_ref()?.prefill_ms(demand.prompt_tokens);
+        SizeClass::of(service, read_ms, demand.target)
     }
 
     /// How many prompts of its size are served without a prompt.
     pub(crate) fn served_without(
         &self,
         demand: &Demand,
-        size: Option<Size>,
+        size: Option<SizeClass>,
         options: &ChoiceOptions,
     ) -> ServedWithout {
         let Some(size) = size else {
@@ -135,7 +135,7 @@
     /// cut off, and then nothing is known.
     pub(crate) fn forget_old(&mut self, now: Instant) {
         let is_silent = |at: &Instant| now.saturating_duration_since(*at) > SILENT_AFTER;
-        let silent: Vec<Origin> = self
+        let silent: Vec<IncarnationId> = self
             .heard
             .iter()
             .filter(|(_, at)| is_silent(at))
@@ -150,7 +150,7 @@
     /// some that are not known here.
     pub(crate) fn set_running(
         &mut self,
-        origin: Origin,
+        origin: IncarnationId,
         reading: &[WorkId],
         writing: &[WorkId],
         now: Instant,
--- a/crates/engines/src/upstream.rs
+++ b/crates/engines/src/upstream.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use mangofront_routes::{EngineFigures, Upstream};
+use mangofront_routes::{EngineProfile, Upstream};
 
 use crate::health::Health;
 use crate::work::{Part, UpstreamKey, Work, key_of};
@@ -20,7 +20,7 @@
 pub(crate) struct Known {
     pub(crate) key: UpstreamKey,
     pub(crate) info: Upstream,
-    pub(crate) figures: Option<Rc<EngineFigures>>,
+    pub(crate) figures: Option<Rc<EngineProfile>>,
     pub(crate) health: Health,
     /// When it has read all that was placed on it, by the published speed.
     busy_until: Instant,
@@ -46,7 +46,7 @@
 }
 
 impl Known {
-    pub(crate) fn new(info: Upstream, figures: Option<Rc<EngineFigures>>, now: Instant) -> Self {
+    pub(crate) fn new(info: Upstream, figures: Option<Rc<EngineProfile>>, now: Instant) -> Self {
         Self {
             key: key_of(&info),
             info,
@@ -57,7 +57,7 @@
     }
 
     /// The same upstream as it is published now.
-    pub(crate) fn renewed(self, info: Upstream, figures: Option<Rc<EngineFigures>>) -> Self {
+    pub(crate) fn renewed(self, info: Upstream, figures: Option<Rc<EngineProfile>>) -> Self {
         Self {
             info,
             figures,
--- a/crates/engines/src/upstreams.rs
+++ b/crates/engines/src/upstreams.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use futures_channel::mpsc::UnboundedSender;
-use mangofront_routes::{EngineFigures, Upstream, UpstreamId};
+use mangofront_routes::{EngineProfile, Upstream, UpstreamId};
 use mangofront_settings::ids::{AvailabilityZone, ServiceName};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -18,9 +18,9 @@
     Candidate, Choice, Circumstances, Demand, NoUpstream, choose_engines, choose_plain,
 };
 use crate::health::Failure;
-use crate::news::{News, milliseconds, placed_news};
-use crate::placed::Placed;
-use crate::shares::{Progress, Size};
+use crate::news::{LoadUpdate, milliseconds, placed_news};
+use crate::placed::Placement;
+use crate::shares::{Progress, SizeClass};
 use crate::state::{OWN, State};
 use crate::upstream::{Known, Load, loads};
 use crate::work::{UpstreamKey, Work, key_of};
@@ -37,7 +37,7 @@
 struct Shared {
     options: ChoiceOptions,
     availability_zone: AvailabilityZone,
-    news: UnboundedSender<News>,
+    news: UnboundedSender<LoadUpdate>,
     /// Differs between daemons, so that they don't all take the same of equals.
     salt: u64,
     clock: Clock,
@@ -68,7 +68,7 @@
         options: ChoiceOptions,
         availability_zone: AvailabilityZone,
         salt: u64,
-        news: UnboundedSender<News>,
+        news: UnboundedSender<LoadUpdate>,
     ) -> Self {
         Self::with_clock(options, availability_zone, salt, news, Instant::now)
     }
@@ -80,7 +80,7 @@
         options: ChoiceOptions,
         availability_zone: AvailabilityZone,
         salt: u64,
-        news: UnboundedSender<News>,
+        news: UnboundedSender<LoadUpdate>,
         clock: Clock,
     ) -> Self {
         Self(Rc::new(Shared {
@@ -101,10 +101,10 @@
     /// Takes over the published upstreams, with the speed of each service's engines.
     ///
     /// Returns those that have started again under their id.
-    pub fn set_known(
+    pub fn set_published(
         &self,
         upstreams: impl IntoIterator<Item = Upstream>,
-        figures: &HashMap<ServiceName, Rc<EngineFigures>>,
+        figures: &HashMap<ServiceName, Rc<EngineProfile>>,
     ) -> Vec<Upstream> {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
@@ -141,7 +141,7 @@
         service: &str,
         demand: &Demand,
         tried: &[UpstreamKey],
-    ) -> Result<Placed, NoUpstream> {
+    ) -> Result<Placement, NoUpstream> {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
         state.forget_old(now);
@@ -175,13 +175,13 @@
         };
         self.tell(placed_news(id, &work, expected, demand.time_left));
         state.add((OWN, id), work, now);
-        let life_end = state.lives.end_of(&choice.readers[0].upstream);
-        Ok(Placed {
-            readers: choice.readers,
+        let life_end = state.lives.end_of(&choice.shares[0].upstream);
+        Ok(Placement {
+            shares: choice.shares,
             expected_first_event: expected,
-            queue: Duration::from_secs_f64(choice.queue_ms / 1_000.0),
-            daemons_heard: state.heard.len(),
-            oldest_news: state.oldest_news(now),
+            queue_delay: Duration::from_secs_f64(choice.queue_ms / 1_000.0),
+            known_daemons: state.heard.len(),
+            oldest_update: state.oldest_update(now),
             id,
             is_read: false,
             share,
@@ -195,7 +195,7 @@
         state: &State,
         service: &str,
         demand: &Demand,
-        size: Option<Size>,
+        size: Option<SizeClass>,
         tried: &[UpstreamKey],
         now: Instant,
     ) -> Result<Choice, NoUpstream> {
@@ -261,27 +261,27 @@
     }
 
     /// Notes that an upstream answered.
-    pub fn answered(&self, upstream: UpstreamKey) {
+    pub fn record_answer(&self, upstream: UpstreamKey) {
         let mut state = self.0.state.borrow_mut();
         if let Some(known) = state.known_mut(upstream) {
-            known.health.answered();
+            known.health.record_answer();
         }
         self.hear_upstream(&mut state, upstream);
     }
 
     /// Notes that bytes of an upstream came, so that its zone can be reached.
-    pub fn heard_from(&self, upstream: UpstreamKey) {
+    pub fn received_from(&self, upstream: UpstreamKey) {
         let mut state = self.0.state.borrow_mut();
         self.hear_upstream(&mut state, upstream);
     }
 
     /// Sets the time after which this daemon hears of the others' placements.
-    pub fn set_news_delay(&self, delay: Duration) {
+    pub fn set_update_delay(&self, delay: Duration) {
         self.0.state.borrow_mut().news_delay = delay;
     }
 
     /// Notes that a zone can be reached.
-    pub fn heard_zone(&self, zone: &str) {
+    pub fn mark_zone_reachable(&self, zone: &str) {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
         state.hear_zone(zone, &self.0.availability_zone, now);
@@ -289,7 +289,7 @@
 
     /// Zones that are left out, as nothing can be heard of them.
     #[must_use]
-    pub fn silent_zones(&self) -> Vec<AvailabilityZone> {
+    pub fn unreachable_zones(&self) -> Vec<AvailabilityZone> {
         let now = self.now();
         let state = self.0.state.borrow();
         let zones = state.zones.keys();
@@ -309,7 +309,7 @@
     /// Other zones that have shown nothing of themselves for `silence`, each with
     /// one of its upstreams, by which it can be tried.
     #[must_use]
-    pub fn quiet_zones(&self, silence: Duration) -> Vec<Upstream> {
+    pub fn probe_targets(&self, silence: Duration) -> Vec<Upstream> {
         let now = self.now();
         let state = self.0.state.borrow();
         let is_quiet = |at: &Instant| now.saturating_duration_since(*at) >= silence;
@@ -339,12 +339,12 @@
 
     /// Notes that an upstream failed; returns for how long it is left out, if it
     /// is known.
-    pub fn failed(&self, upstream: UpstreamKey, failure: Failure) -> Option<Duration> {
+    pub fn record_failure(&self, upstream: UpstreamKey, failure: Failure) -> Option<Duration> {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
         let known = state.known_mut(upstream)?;
-        let ejected = known.health.failed(failure, now, &self.0.options);
-        self.tell(News::Failed {
+        let ejected = known.health.record_failure(failure, now, &self.0.options);
+        self.tell(LoadUpdate::Failed {
             upstream,
             ejected_ms: milliseconds(ejected),
         });
@@ -366,7 +366,7 @@
 
     /// Whether an upstream that was chosen may still be given work.
     #[must_use]
-    pub fn takes_work(&self, upstream: UpstreamKey) -> bool {
+    pub fn accepts_work(&self, upstream: UpstreamKey) -> bool {
         let mut state = self.0.state.borrow_mut();
         let known = state.known_mut(upstream);
         known.is_some_and(|known| !known.info.leaving)
@@ -380,7 +380,7 @@
 
     /// Whether a later life of an upstream is registered.
     #[must_use]
-    pub fn has_started_again(&self, upstream: &Upstream) -> bool {
+    pub fn has_restarted(&self, upstream: &Upstream) -> bool {
         let state = self.0.state.borrow();
         let mut same = state.known.iter().map(|known| &known.info);
         same.any(|info| info.id == upstream.id && info.started_at_ms > upstream.started_at_ms)
@@ -420,7 +420,7 @@
         state.known.iter().zip(&loads).map(status).collect()
     }
 
-    fn tell(&self, news: News) {
+    fn tell(&self, news: LoadUpdate) {
         // Without a listener there are no other daemons to hear it.
         let _ = self.0.news.unbounded_send(news);
     }
--- a/crates/engines/src/upstreams/crash_records.rs
+++ b/crates/engines/src/upstreams/crash_records.rs
@@ -3,29 +3,29 @@
 use std::time::Instant;
 
 use super::Upstreams;
-use crate::crashes::{CRASHES_LIMIT, CrashStatus, Standing};
+use crate::crashes::{CRASHES_LIMIT, CrashStatus, QuarantineState};
 use crate::news::crashes_news;
-use crate::shares::RequestName;
+use crate::shares::RequestFingerprint;
 use crate::state::State;
 use crate::work::UpstreamKey;
 
 impl Upstreams {
     /// Notes that an upstream crashed while it ran a request of this daemon; how many did
     /// under that request.
-    pub fn crashed_under(&self, request: RequestName, upstream: UpstreamKey) -> usize {
+    pub fn record_crash(&self, request: RequestFingerprint, upstream: UpstreamKey) -> usize {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
         state.crashes.note(request, upstream, now);
         self.tell_crashes(&state, request, now);
-        match state.crashes.standing(request, now) {
-            Standing::Open { crashes } => crashes,
-            Standing::Quarantined { .. } | Standing::OnTrial => CRASHES_LIMIT,
+        match state.crashes.quarantine_state(request, now) {
+            QuarantineState::Open { crashes } => crashes,
+            QuarantineState::Quarantined { .. } | QuarantineState::TrialAllowed => CRASHES_LIMIT,
         }
     }
 
     /// Notes that a request is not at fault for crashes so far, as an upstream answered
     /// it whole or the operator says so; whether there were any.
-    pub fn clear(&self, request: RequestName) -> bool {
+    pub fn clear_crashes(&self, request: RequestFingerprint) -> bool {
         let mut state = self.0.state.borrow_mut();
         let had_any = state.crashes.clear(request);
         if had_any {
@@ -36,21 +36,25 @@
 
     /// Whether a request may be sent to an upstream, after crashes under it.
     #[must_use]
-    pub fn standing(&self, request: RequestName) -> Standing {
-        self.0.state.borrow().crashes.standing(request, self.now())
+    pub fn quarantine_state(&self, request: RequestFingerprint) -> QuarantineState {
+        self.0
+            .state
+            .borrow()
+            .crashes
+            .quarantine_state(request, self.now())
     }
 
     /// Whether one more crash would keep a request from all upstreams, or it is already.
     #[must_use]
-    pub fn is_near_quarantine(&self, request: RequestName) -> bool {
-        match self.standing(request) {
-            Standing::Open { crashes } => crashes + 1 >= CRASHES_LIMIT,
-            Standing::Quarantined { .. } | Standing::OnTrial => true,
+    pub fn is_near_quarantine(&self, request: RequestFingerprint) -> bool {
+        match self.quarantine_state(request) {
+            QuarantineState::Open { crashes } => crashes + 1 >= CRASHES_LIMIT,
+            QuarantineState::Quarantined { .. } | QuarantineState::TrialAllowed => true,
         }
     }
 
     /// Keeps others from trying a request while this daemon does.
-    pub fn begin_trial(&self, request: RequestName) {
+    pub fn begin_trial(&self, request: RequestFingerprint) {
         let now = self.now();
         self.0.state.borrow_mut().crashes.begin_trial(request, now);
     }
@@ -61,7 +65,7 @@
         self.0.state.borrow().crashes.status(self.now())
     }
 
-    pub(super) fn tell_crashes(&self, state: &State, request: RequestName, now: Instant) {
+    pub(super) fn tell_crashes(&self, state: &State, request: RequestFingerprint, now: Instant) {
         if let Some(record) = state.crashes.record(request, now) {
             self.tell(crashes_news(request, record));
         }
--- a/crates/engines/src/upstreams/exchange.rs
+++ b/crates/engines/src/upstreams/exchange.rs
@@ -4,8 +4,8 @@
 
 use super::Upstreams;
 use crate::crashes::Record;
-use crate::news::{News, Origin, crashes_news, part_of, placed_news};
-use crate::shares::{Progress, RequestName, Size};
+use crate::news::{IncarnationId, LoadUpdate, crashes_news, part_of, placed_news};
+use crate::shares::{Progress, RequestFingerprint, SizeClass};
 use crate::state::{OWN, State};
 use crate::work::{Work, WorkId};
 
@@ -19,14 +19,14 @@
     /// Takes in news of another daemon; whether it has requests that are not known
     /// here, so that it should introduce itself again.
     ///
-    /// News are lost while a zone is cut off. Without those of the requests that
+    /// LoadUpdate are lost while a zone is cut off. Without those of the requests that
     /// were placed meanwhile, engines full of them would look idle afterwards.
-    pub fn hear(&self, origin: Origin, news: News) -> bool {
+    pub fn apply_update(&self, origin: IncarnationId, news: LoadUpdate) -> bool {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
         state.heard.insert(origin, now);
         match news {
-            News::Placed {
+            LoadUpdate::Placed {
                 work,
                 parts,
                 gap_ms,
@@ -47,21 +47,21 @@
                 }
                 state.add(work_key, heard, now);
             }
-            News::Read { work } => state.mark_read(&(origin, work)),
-            News::Ended { work } => {
+            LoadUpdate::FirstEvent { work } => state.mark_read(&(origin, work)),
+            LoadUpdate::Ended { work } => {
                 state.works.remove(&(origin, work));
             }
-            News::Running { reading, writing } => {
+            LoadUpdate::Running { reading, writing } => {
                 return state.set_running(origin, &reading, &writing, now);
             }
-            News::Progress {
+            LoadUpdate::Progress {
                 request,
                 size,
                 progress,
             } => {
                 state.shares.note(request, size, progress, now);
             }
-            News::Crashes {
+            LoadUpdate::Crashes {
                 request,
                 crashed,
                 cleared,
@@ -77,7 +77,7 @@
                     self.tell_crashes(&state, request, now);
                 }
             }
-            News::Failed {
+            LoadUpdate::Failed {
                 upstream,
                 ejected_ms,
             } => {
@@ -92,7 +92,7 @@
     }
 
     /// Forgets the work of a daemon that is gone.
-    pub fn forget(&self, origin: Origin) {
+    pub fn remove_daemon(&self, origin: IncarnationId) {
         let mut state = self.0.state.borrow_mut();
         state.works.retain(|key, _| key.0 != origin);
         state.heard.remove(&origin);
@@ -101,7 +101,7 @@
     /// All requests of this daemon that have not ended, as a daemon that has just
     /// started, or was out of reach, has to hear of them.
     #[must_use]
-    pub fn introduction(&self) -> Vec<News> {
+    pub fn load_snapshot(&self) -> Vec<LoadUpdate> {
         let now = self.now();
         let state = self.0.state.borrow();
         let own = state.works.iter().filter(|(key, _)| key.0 == OWN);
@@ -111,7 +111,7 @@
             let left = work.expires_at.saturating_duration_since(now);
             news.push(placed_news(*id, work, expected, left));
             if !work.is_reading {
-                news.push(News::Read { work: *id });
+                news.push(LoadUpdate::FirstEvent { work: *id });
             }
         }
         let worst = state.crashes.worst(INTRODUCED_CRASHES, false).into_iter();
@@ -124,7 +124,7 @@
     }
 
     /// Tells the other daemons of all requests that have not ended.
-    pub fn tell_running(&self) {
+    pub fn broadcast_running(&self) {
         let state = self.0.state.borrow();
         let own = || state.works.iter().filter(|(key, _)| key.0 == OWN);
         let now = self.now();
@@ -137,7 +137,7 @@
                 .map(|(key, _)| key.1)
                 .collect()
         };
-        self.tell(News::Running {
+        self.tell(LoadUpdate::Running {
             reading: of(true),
             writing: of(false),
         });
@@ -146,17 +146,22 @@
     /// Notes that the first event of an own request came.
     pub(crate) fn note_read(&self, id: WorkId) {
         self.0.state.borrow_mut().mark_read(&(OWN, id));
-        self.tell(News::Read { work: id });
+        self.tell(LoadUpdate::FirstEvent { work: id });
     }
 
     /// Notes that an own request ended.
     pub(crate) fn note_ended(&self, id: WorkId) {
         self.0.state.borrow_mut().works.remove(&(OWN, id));
-        self.tell(News::Ended { work: id });
+        self.tell(LoadUpdate::Ended { work: id });
     }
 
     /// Notes what became of an own request that is among the largest.
-    pub(crate) fn note_end(&self, request: RequestName, size: Size, progress: Progress) {
+    pub(crate) fn note_end(
+        &self,
+        request: RequestFingerprint,
+        size: SizeClass,
+        progress: Progress,
+    ) {
         let mut state = self.0.state.borrow_mut();
         self.note_progress(&mut state, request, size, progress);
     }
@@ -164,12 +169,12 @@
     pub(super) fn note_progress(
         &self,
         state: &mut State,
-        request: RequestName,
-        size: Size,
+        request: RequestFingerprint,
+        size: SizeClass,
         progress: Progress,
     ) {
         if state.shares.note(request, size, progress, self.now()) {
-            self.tell(News::Progress {
+            self.tell(LoadUpdate::Progress {
                 request,
                 size,
                 progress,
--- a/crates/engines/tests/engines/choice.rs
+++ b/crates/engines/tests/engines/choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mangofront_engines::{ChoiceOptions, Demand, NoUpstream, Placed};
+use mangofront_engines::{ChoiceOptions, Demand, NoUpstream, Placement};
 
 use crate::support::{Fleet, SERVICE, after, demand, question, review, upstream};
 
@@ -10,7 +10,7 @@
 const LATE_MS: u64 = 7_600;
 
 /// Engines that have two long reviews to read, 3.8 s of one engine's time.
-fn busy_engines(count: usize) -> (Fleet, Vec<Placed>) {
+fn busy_engines(count: usize) -> (Fleet, Vec<Placement>) {
     let fleet = Fleet::at_one_moment(count);
     let running = (0..2)
         .map(|_| {
@@ -28,10 +28,10 @@
         let fleet = Fleet::new(23);
         let placed = fleet.place(&review(tokens)).unwrap();
         let reserved = placed
-            .readers
+            .shares
             .iter()
             .filter(|one| one.reserve_tokens.is_some());
-        (tokens, placed.readers.len(), reserved.count())
+        (tokens, placed.shares.len(), reserved.count())
     };
     insta::assert_debug_snapshot!([
         readers(1_000),
@@ -49,7 +49,7 @@
     let fleet = Fleet::new(23);
     let placed = fleet.place(&review(600_000)).unwrap();
     let reserved: u64 = placed
-        .readers
+        .shares
         .iter()
         .filter_map(|one| one.reserve_tokens)
         .sum();
@@ -58,10 +58,10 @@
         kept + 1_000 <= 232_000,
         "{kept} tokens stay at the engine that answers"
     );
-    assert_eq!(placed.readers[0].reserve_tokens, None);
+    assert_eq!(placed.shares[0].reserve_tokens, None);
     assert!(
         placed
-            .readers
+            .shares
             .iter()
             .all(|one| one.reserve_tokens.is_none_or(|t| t <= 232_000))
     );
@@ -73,13 +73,13 @@
     let mut short = Vec::new();
     for _ in 0..20 {
         let mut placed = fleet.place(&question()).unwrap();
-        placed.first_event();
+        placed.record_first_event();
         short.push(placed);
     }
-    let engines = |placed: &[Placed]| {
+    let engines = |placed: &[Placement]| {
         let ids = placed
             .iter()
-            .flat_map(|one| one.readers.iter().map(|r| r.upstream.id.clone()));
+            .flat_map(|one| one.shares.iter().map(|r| r.upstream.id.clone()));
         ids.collect::<std::collections::BTreeSet<_>>()
     };
     let long = [fleet.place(&review(133_000)).unwrap()];
@@ -110,16 +110,16 @@
 fn a_prompt_that_is_held_back_breaks_no_pauses() {
     let answers = |count: usize, tokens: u64| {
         let fleet = Fleet::new(6);
-        let _short: Vec<Placed> = (0..count)
+        let _short: Vec<Placement> = (0..count)
             .map(|_| {
                 let mut placed = fleet.place(&question()).unwrap();
-                placed.first_event();
+                placed.record_first_event();
                 placed
             })
             .collect();
         let _running = [fleet.place(&review(130_000)).unwrap()];
         let long = after(&review(tokens), 1_300);
-        let placed = fleet.place(&long).map(|placed| placed.readers.len());
+        let placed = fleet.place(&long).map(|placed| placed.shares.len());
         (count, tokens, placed)
     };
     insta::assert_debug_snapshot!([
@@ -145,7 +145,10 @@
             request,
             ..after(&review(tokens), LATE_MS)
         };
-        fleet.place(&review).expect("it is placed").answered();
+        fleet
+            .place(&review)
+            .expect("it is placed")
+            .record_complete();
     }
 }
 
@@ -213,7 +216,7 @@
     };
     assert_eq!(fleet.place(&longest).unwrap_err(), NoUpstream::Busy);
     for news in other.told() {
-        fleet.upstreams.hear(1, news);
+        fleet.upstreams.apply_update(1, news);
     }
     assert_eq!(fleet.place(&longest).unwrap_err(), NoUpstream::Overrun);
 }
@@ -240,7 +243,7 @@
 #[test]
 fn a_long_prompt_is_held_until_it_can_not_be_in_time() {
     let (fleet, _running) = busy_engines(8);
-    let outcome = |demand: &Demand| fleet.place(demand).map(|placed| placed.readers.len());
+    let outcome = |demand: &Demand| fleet.place(demand).map(|placed| placed.shares.len());
     let unknown_size = refusable(220_000, 2_000);
     served_before(&fleet, 300_000, 9..12);
     served_before(&fleet, 170_000, 1..9);
@@ -271,7 +274,7 @@
             time_left: Duration::from_millis(time_left_ms),
             ..after(&review(170_000), 2_000)
         };
-        fleet.place(&late).map(|placed| placed.readers.len())
+        fleet.place(&late).map(|placed| placed.shares.len())
     };
     assert_eq!(outcome(10_000), Err(NoUpstream::Busy));
     assert!(outcome(3_000).is_ok());
@@ -333,7 +336,7 @@
         };
         let listed = (0..12).map(|number| upstream(number, SERVICE, "hall-a"));
         let fleet = Fleet::with_options(listed.collect(), options);
-        let placed: Vec<Placed> = (0..12).map(|_| fleet.place(&question()).unwrap()).collect();
+        let placed: Vec<Placement> = (0..12).map(|_| fleet.place(&question()).unwrap()).collect();
         let ids = placed.iter().map(|one| one.answering().id.clone());
         ids.collect::<std::collections::BTreeSet<_>>().len()
     };
--- a/crates/engines/tests/engines/crashes.rs
+++ b/crates/engines/tests/engines/crashes.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use futures_channel::mpsc::{UnboundedReceiver, unbounded};
-use mangofront_engines::{ChoiceOptions, News, Standing, Upstreams};
+use mangofront_engines::{ChoiceOptions, LoadUpdate, QuarantineState, Upstreams};
 use quickcheck::quickcheck;
 
 const REQUEST: u128 = 7;
@@ -28,19 +28,19 @@
     VIRTUAL.set(VIRTUAL.get() + time);
 }
 
-fn daemon() -> (Upstreams, UnboundedReceiver<News>) {
+fn daemon() -> (Upstreams, UnboundedReceiver<LoadUpdate>) {
     let (tell, news) = unbounded();
     let options = ChoiceOptions::default();
     let upstreams = Upstreams::with_clock(options, "hall-a".to_owned(), 1, tell, clock);
     (upstreams, news)
 }
 
-fn told(news: &mut UnboundedReceiver<News>) -> Vec<News> {
+fn told(news: &mut UnboundedReceiver<LoadUpdate>) -> Vec<LoadUpdate> {
     std::iter::from_fn(|| news.try_recv().ok()).collect()
 }
 
-fn open(crashes: usize) -> Standing {
-    Standing::Open { crashes }
+fn open(crashes: usize) -> QuarantineState {
+    QuarantineState::Open { crashes }
 }
 
 /// What a request's standing is after each of some crashes, and after times that pass.
@@ -49,14 +49,14 @@
     let (daemon, _news) = daemon();
     let mut standings = Vec::new();
     for life in 1..=5 {
-        daemon.crashed_under(REQUEST, life);
-        standings.push(daemon.standing(REQUEST));
+        daemon.record_crash(REQUEST, life);
+        standings.push(daemon.quarantine_state(REQUEST));
         pass(Duration::from_secs(1));
     }
     pass(4 * QUARANTINE - Duration::from_secs(2));
-    standings.push(daemon.standing(REQUEST));
+    standings.push(daemon.quarantine_state(REQUEST));
     pass(Duration::from_secs(1));
-    standings.push(daemon.standing(REQUEST));
+    standings.push(daemon.quarantine_state(REQUEST));
     insta::assert_debug_snapshot!(standings);
 }
 
@@ -66,13 +66,13 @@
 fn a_life_counts_once() {
     let (daemon, mut news) = daemon();
     for _ in 0..4 {
-        daemon.crashed_under(REQUEST, 1);
+        daemon.record_crash(REQUEST, 1);
     }
     for one in told(&mut news) {
-        daemon.hear(2, one.clone());
-        daemon.hear(3, one);
+        daemon.apply_update(2, one.clone());
+        daemon.apply_update(3, one);
     }
-    assert_eq!(daemon.standing(REQUEST), open(1));
+    assert_eq!(daemon.quarantine_state(REQUEST), open(1));
 }
 
 /// Guards against an innocent request being kept for crashes that it was beside.
@@ -80,18 +80,21 @@
 fn a_request_that_is_answered_is_cleared_at_all_daemons() {
     let (one, mut of_one) = daemon();
     let (other, _of_other) = daemon();
-    one.crashed_under(REQUEST, 1);
-    one.crashed_under(REQUEST, 2);
+    one.record_crash(REQUEST, 1);
+    one.record_crash(REQUEST, 2);
     let early = told(&mut of_one);
-    assert!(one.clear(REQUEST));
-    assert!(!one.clear(REQUEST), "there is nothing more to clear");
-    // News overtake each other.
+    assert!(one.clear_crashes(REQUEST));
+    assert!(
+        !one.clear_crashes(REQUEST),
+        "there is nothing more to clear"
+    );
+    // LoadUpdate overtake each other.
     for news in told(&mut of_one).into_iter().chain(early) {
-        other.hear(2, news);
+        other.apply_update(2, news);
     }
-    assert_eq!(other.standing(REQUEST), open(0));
-    other.crashed_under(REQUEST, 3);
-    assert_eq!(other.standing(REQUEST), open(1));
+    assert_eq!(other.quarantine_state(REQUEST), open(0));
+    other.record_crash(REQUEST, 3);
+    assert_eq!(other.quarantine_state(REQUEST), open(1));
 }
 
 /// Guards against a request that was cleared many times being trusted for ever.
@@ -99,16 +102,19 @@
 fn a_request_that_was_beside_many_crashes_is_kept_once_it_is_at_fault() {
     let (daemon, _news) = daemon();
     for life in 1..=100 {
-        daemon.crashed_under(REQUEST, life);
-        daemon.clear(REQUEST);
+        daemon.record_crash(REQUEST, life);
+        daemon.clear_crashes(REQUEST);
     }
     for life in 101..=103 {
-        assert!(matches!(daemon.standing(REQUEST), Standing::Open { .. }));
-        daemon.crashed_under(REQUEST, life);
+        assert!(matches!(
+            daemon.quarantine_state(REQUEST),
+            QuarantineState::Open { .. }
+        ));
+        daemon.record_crash(REQUEST, life);
     }
     assert!(matches!(
-        daemon.standing(REQUEST),
-        Standing::Quarantined { .. }
+        daemon.quarantine_state(REQUEST),
+        QuarantineState::Quarantined { .. }
     ));
 }
 
@@ -116,21 +122,24 @@
 fn only_one_trial_runs_at_a_time() {
     let (daemon, _news) = daemon();
     (1..=3).for_each(|life| {
-        daemon.crashed_under(REQUEST, life);
+        daemon.record_crash(REQUEST, life);
     });
     pass(QUARANTINE);
-    assert_eq!(daemon.standing(REQUEST), Standing::OnTrial);
+    assert_eq!(
+        daemon.quarantine_state(REQUEST),
+        QuarantineState::TrialAllowed
+    );
     daemon.begin_trial(REQUEST);
     assert!(matches!(
-        daemon.standing(REQUEST),
-        Standing::Quarantined { .. }
+        daemon.quarantine_state(REQUEST),
+        QuarantineState::Quarantined { .. }
     ));
     // It is still at fault.
-    daemon.crashed_under(REQUEST, 4);
+    daemon.record_crash(REQUEST, 4);
     pass(QUARANTINE + Duration::from_secs(1));
     assert!(matches!(
-        daemon.standing(REQUEST),
-        Standing::Quarantined { .. }
+        daemon.quarantine_state(REQUEST),
+        QuarantineState::Quarantined { .. }
     ));
 }
 
@@ -140,21 +149,27 @@
 fn crashes_are_told_again_and_to_who_starts() {
     let (one, mut of_one) = daemon();
     (1..=3).for_each(|life| {
-        one.crashed_under(REQUEST, life);
+        one.record_crash(REQUEST, life);
     });
     told(&mut of_one);
     pass(Duration::from_secs(10));
     let (late, _) = daemon();
-    one.tell_running();
+    one.broadcast_running();
     for news in told(&mut of_one) {
-        late.hear(2, news);
+        late.apply_update(2, news);
     }
     let (starting, _) = daemon();
-    for news in one.introduction() {
-        starting.hear(2, news);
+    for news in one.load_snapshot() {
+        starting.apply_update(2, news);
     }
-    assert_eq!(late.standing(REQUEST), one.standing(REQUEST));
-    assert_eq!(starting.standing(REQUEST), one.standing(REQUEST));
+    assert_eq!(
+        late.quarantine_state(REQUEST),
+        one.quarantine_state(REQUEST)
+    );
+    assert_eq!(
+        starting.quarantine_state(REQUEST),
+        one.quarantine_state(REQUEST)
+    );
 }
 
 /// Guards against a request being kept for ever by a daemon that missed that it was cleared.
@@ -163,22 +178,22 @@
     let (one, mut of_one) = daemon();
     let (other, mut of_other) = daemon();
     (1..=3).for_each(|life| {
-        other.crashed_under(REQUEST, life);
+        other.record_crash(REQUEST, life);
     });
     for news in told(&mut of_other) {
-        one.hear(2, news);
+        one.apply_update(2, news);
     }
-    one.clear(REQUEST);
+    one.clear_crashes(REQUEST);
     told(&mut of_one);
     // That was lost; the other goes on to tell what it knows.
-    other.tell_running();
+    other.broadcast_running();
     for news in told(&mut of_other) {
-        one.hear(2, news);
+        one.apply_update(2, news);
     }
     for news in told(&mut of_one) {
-        other.hear(2, news);
+        other.apply_update(2, news);
     }
-    assert_eq!(other.standing(REQUEST), open(0));
+    assert_eq!(other.quarantine_state(REQUEST), open(0));
 }
 
 /// Guards against a flood of requests that crash upstreams once making room for one that
@@ -187,14 +202,14 @@
 fn a_flood_of_requests_leaves_the_worst_in_quarantine() {
     let (daemon, _news) = daemon();
     (1..=3).for_each(|life| {
-        daemon.crashed_under(REQUEST, life);
+        daemon.record_crash(REQUEST, life);
     });
     for request in 100..5_000 {
-        daemon.crashed_under(request, 4);
+        daemon.record_crash(request, 4);
     }
     assert!(matches!(
-        daemon.standing(REQUEST),
-        Standing::Quarantined { .. }
+        daemon.quarantine_state(REQUEST),
+        QuarantineState::Quarantined { .. }
     ));
     assert_eq!(daemon.quarantined().len(), 1);
 }
@@ -207,25 +222,25 @@
         let (teller, mut of_teller) = daemon();
         for (life, is_cleared) in events {
             match is_cleared && life % 4 == 0 {
-                true => drop(teller.clear(REQUEST)),
-                false => drop(teller.crashed_under(REQUEST, u64::from(life % 8))),
+                true => drop(teller.clear_crashes(REQUEST)),
+                false => drop(teller.record_crash(REQUEST, u64::from(life % 8))),
             }
         }
         let news = told(&mut of_teller);
         let (in_order, _) = daemon();
         let (shuffled, _) = daemon();
         for one in &news {
-            in_order.hear(2, one.clone());
+            in_order.apply_update(2, one.clone());
         }
         for place in &order {
             if let Some(one) = news.get(usize::from(*place) % news.len().max(1)) {
-                shuffled.hear(2, one.clone());
+                shuffled.apply_update(2, one.clone());
             }
         }
         for one in news.iter().rev() {
-            shuffled.hear(2, one.clone());
+            shuffled.apply_update(2, one.clone());
         }
-        let standing = teller.standing(REQUEST);
-        standing == in_order.standing(REQUEST) && standing == shuffled.standing(REQUEST)
+        let standing = teller.quarantine_state(REQUEST);
+        standing == in_order.quarantine_state(REQUEST) && standing == shuffled.quarantine_state(REQUEST)
     }
 }
--- a/crates/engines/tests/engines/support.rs
+++ b/crates/engines/tests/engines/support.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use futures_channel::mpsc::{UnboundedReceiver, unbounded};
-use mangofront_engines::{ChoiceOptions, Demand, News, NoUpstream, Placed, Upstreams};
+use mangofront_engines::{ChoiceOptions, Demand, LoadUpdate, NoUpstream, Placement, Upstreams};
 use mangofront_routes::Upstream;
 
 use crate::figures::figures;
@@ -37,7 +37,7 @@
 
 pub struct Fleet {
     pub upstreams: Upstreams,
-    pub news: UnboundedReceiver<News>,
+    pub news: UnboundedReceiver<LoadUpdate>,
     pub listed: Vec<Upstream>,
 }
 
@@ -90,14 +90,15 @@
 
     pub fn list(&self, listed: &[Upstream]) {
         let engine = HashMap::from([(SERVICE.to_owned(), Rc::new(figures()))]);
-        self.upstreams.set_known(listed.iter().cloned(), &engine);
+        self.upstreams
+            .set_published(listed.iter().cloned(), &engine);
     }
 
-    pub fn place(&self, demand: &Demand) -> Result<Placed, NoUpstream> {
+    pub fn place(&self, demand: &Demand) -> Result<Placement, NoUpstream> {
         self.upstreams.place(SERVICE, demand, &[])
     }
 
-    pub fn told(&mut self) -> Vec<News> {
+    pub fn told(&mut self) -> Vec<LoadUpdate> {
         let mut told = Vec::new();
         while let Ok(news) = self.news.try_recv() {
             told.push(news);
--- a/crates/engines/tests/engines/view.rs
+++ b/crates/engines/tests/engines/view.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_util::FutureExt;
-use mangofront_engines::{Failure, News, NoUpstream, Placed, key_of};
+use mangofront_engines::{Failure, LoadUpdate, NoUpstream, Placement, key_of};
 use mangofront_routes::Upstream;
 use quickcheck::QuickCheck;
 
@@ -14,7 +14,9 @@
 fn failed_left_and_tried_upstreams_are_passed_over() {
     let fleet = Fleet::new(3);
     let keys: Vec<_> = fleet.listed.iter().map(key_of).collect();
-    fleet.upstreams.failed(keys[0], Failure::Unreachable);
+    fleet
+        .upstreams
+        .record_failure(keys[0], Failure::Unreachable);
     let chosen = |tried: &[u64]| {
         let placed = fleet.upstreams.place(SERVICE, &question(), tried);
         placed.map(|placed| placed.answering().id.clone())
@@ -37,14 +39,14 @@
     let fleet = Fleet::new(1);
     let key = key_of(&fleet.listed[0]);
     let is_ejected = || fleet.upstreams.status()[0].is_ejected;
-    fleet.upstreams.failed(key, Failure::Unreachable);
+    fleet.upstreams.record_failure(key, Failure::Unreachable);
     assert!(is_ejected());
     thread::sleep(Duration::from_millis(520));
     assert!(!is_ejected());
-    fleet.upstreams.failed(key, Failure::Silent);
+    fleet.upstreams.record_failure(key, Failure::Silent);
     thread::sleep(Duration::from_millis(520));
     assert!(is_ejected());
-    fleet.upstreams.answered(key);
+    fleet.upstreams.record_answer(key);
     assert!(!is_ejected());
 }
 
@@ -59,7 +61,7 @@
     let fleet = Fleet::of(listed);
     let placed = fleet.place(&review(200_000)).unwrap();
     let ids: Vec<_> = placed
-        .readers
+        .shares
         .iter()
         .map(|one| one.upstream.id.as_str())
         .collect();
@@ -74,7 +76,7 @@
     let mut placed = one.place(&review(100_000)).unwrap();
     let tell = |one: &mut Fleet| {
         one.told().into_iter().for_each(|news| {
-            other.upstreams.hear(7, news);
+            other.upstreams.apply_update(7, news);
         })
     };
     tell(&mut one);
@@ -94,7 +96,7 @@
             .iter()
             .any(|status| status.backlog_ms > 0.0)
     );
-    placed.first_event();
+    placed.record_first_event();
     tell(&mut one);
     assert!(
         other
@@ -115,14 +117,14 @@
     let ended = one.place(&review(100_000)).unwrap();
     let running = one.place(&question()).unwrap();
     one.told().into_iter().for_each(|news| {
-        other.upstreams.hear(7, news);
+        other.upstreams.apply_update(7, news);
     });
     drop(ended);
     one.told();
     thread::sleep(Duration::from_millis(350));
-    one.upstreams.tell_running();
+    one.upstreams.broadcast_running();
     one.told().into_iter().for_each(|news| {
-        other.upstreams.hear(7, news);
+        other.upstreams.apply_update(7, news);
     });
     let answering: u32 = other
         .upstreams
@@ -140,9 +142,9 @@
     let other = Fleet::new(3);
     let _reading = one.place(&review(100_000)).unwrap();
     let mut writing = one.place(&question()).unwrap();
-    writing.first_event();
-    one.upstreams.introduction().into_iter().for_each(|news| {
-        other.upstreams.hear(7, news);
+    writing.record_first_event();
+    one.upstreams.load_snapshot().into_iter().for_each(|news| {
+        other.upstreams.apply_update(7, news);
     });
     let view = |fleet: &Fleet| {
         let status = fleet.upstreams.status();
@@ -152,7 +154,7 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(view(&one), view(&other));
-    other.upstreams.forget(7);
+    other.upstreams.remove_daemon(7);
     assert!(view(&other).iter().all(|one| *one == (0, 0)));
 }
 
@@ -163,17 +165,17 @@
         upstream(1, SERVICE, "hall-b"),
     ];
     let fleet = Fleet::of(listed);
-    fleet.upstreams.heard_zone("hall-b");
-    fleet.upstreams.heard_zone("hall-a");
+    fleet.upstreams.mark_zone_reachable("hall-b");
+    fleet.upstreams.mark_zone_reachable("hall-a");
     thread::sleep(Duration::from_millis(1_200));
-    let quiet = fleet.upstreams.quiet_zones(Duration::from_millis(500));
+    let quiet = fleet.upstreams.probe_targets(Duration::from_millis(500));
     assert_eq!(
         quiet.iter().map(|one| one.id.as_str()).collect::<Vec<_>>(),
         ["i-1"]
     );
     let placed: Vec<_> = (0..10).map(|_| fleet.place(&question()).unwrap()).collect();
     assert!(placed.iter().all(|one| one.answering().id == "i-0"));
-    fleet.upstreams.heard_from(key_of(&fleet.listed[1]));
+    fleet.upstreams.received_from(key_of(&fleet.listed[1]));
     let next: Vec<_> = (0..10).map(|_| fleet.place(&question()).unwrap()).collect();
     assert!(next.iter().any(|one| one.answering().id == "i-1"));
 }
@@ -189,10 +191,12 @@
     ];
     let fleet = Fleet::of(listed);
     let keys: Vec<_> = fleet.listed.iter().map(key_of).collect();
-    fleet.upstreams.heard_zone("hall-b");
+    fleet.upstreams.mark_zone_reachable("hall-b");
     thread::sleep(Duration::from_millis(1_200));
-    fleet.upstreams.heard_zone("hall-c");
-    fleet.upstreams.failed(keys[2], Failure::Unreachable);
+    fleet.upstreams.mark_zone_reachable("hall-c");
+    fleet
+        .upstreams
+        .record_failure(keys[2], Failure::Unreachable);
     let plain = demand(0, 0, 300);
     let chosen = |tried: &[u64]| {
         let placed = fleet.upstreams.place(SERVICE, &plain, tried);
@@ -243,7 +247,7 @@
     let earlier_news = fleet.told();
     fleet
         .upstreams
-        .failed(key_of(&fleet.listed[0]), Failure::Unreachable);
+        .record_failure(key_of(&fleet.listed[0]), Failure::Unreachable);
     let listed = first_started_again(&fleet);
     fleet.list(&listed);
     let load = |fleet: &Fleet| {
@@ -253,11 +257,11 @@
     assert_eq!(load(&fleet), (0, 0, false));
     // A peer that has not heard of the later life still tells of the earlier one.
     earlier_news.into_iter().for_each(|news| {
-        fleet.upstreams.hear(7, news);
+        fleet.upstreams.apply_update(7, news);
     });
-    fleet.upstreams.hear(
+    fleet.upstreams.apply_update(
         7,
-        News::Failed {
+        LoadUpdate::Failed {
             upstream: key_of(&fleet.listed[0]),
             ejected_ms: 5_000,
         },
@@ -271,7 +275,7 @@
 fn whoever_waits_for_an_earlier_life_is_told() {
     let fleet = Fleet::new(2);
     let mut placed: Vec<_> = (0..8).map(|_| fleet.place(&question()).unwrap()).collect();
-    let is_told = |one: &mut Placed| one.restarted().now_or_never().is_some();
+    let is_told = |one: &mut Placement| one.restarted().now_or_never().is_some();
     assert!(!placed.iter_mut().any(is_told));
     let listed = first_started_again(&fleet);
     // Its registration may lapse before the next one comes.
@@ -290,24 +294,26 @@
 fn requests_whose_placing_was_not_heard_are_asked_for() {
     let mut one = Fleet::new(3);
     let other = Fleet::new(3);
-    let tell = |news: Vec<News>| {
-        let asked = news.into_iter().map(|one| other.upstreams.hear(7, one));
+    let tell = |news: Vec<LoadUpdate>| {
+        let asked = news
+            .into_iter()
+            .map(|one| other.upstreams.apply_update(7, one));
         asked.filter(|asked| *asked).count()
     };
     let known = one.place(&question()).unwrap();
     assert_eq!(tell(one.told()), 0);
     let mut lost: Vec<_> = (0..5).map(|_| one.place(&question()).unwrap()).collect();
-    lost[0].first_event();
+    lost[0].record_first_event();
     drop(one.told());
-    one.upstreams.tell_running();
+    one.upstreams.broadcast_running();
     assert_eq!(tell(one.told()), 1, "it should introduce itself");
-    assert_eq!(tell(one.upstreams.introduction()), 0);
+    assert_eq!(tell(one.upstreams.load_snapshot()), 0);
     let answering = |fleet: &Fleet| {
         let status = fleet.upstreams.status().into_iter();
         status.map(|one| one.answering).collect::<Vec<_>>()
     };
     assert_eq!(answering(&other), answering(&one));
-    one.upstreams.tell_running();
+    one.upstreams.broadcast_running();
     assert_eq!(tell(one.told()), 0, "nothing is missing any more");
     drop((known, lost));
 }
--- a/crates/engines/tests/load/engine.rs
+++ b/crates/engines/tests/load/engine.rs
@@ -6,7 +6,7 @@
 
 use std::collections::VecDeque;
 
-use mangofront_routes::EngineFigures;
+use mangofront_routes::EngineProfile;
 
 /// Number of a request.
 pub type Id = usize;
@@ -49,7 +49,7 @@
     }
 
     /// Begins a pass; how long it takes in milliseconds, none if there is nothing to do.
-    pub fn begin(&mut self, figures: &EngineFigures) -> Option<f64> {
+    pub fn begin(&mut self, figures: &EngineProfile) -> Option<f64> {
         let slots = figures.slots as usize;
         while self.writing.len() + self.reading.len() < slots {
             let Some(job) = self.waiting.pop_front() else {
--- a/crates/engines/tests/load/fleet.rs
+++ b/crates/engines/tests/load/fleet.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use futures_channel::mpsc::{UnboundedReceiver, unbounded};
-use mangofront_engines::{ChoiceOptions, Demand, News, NoUpstream, Placed, Upstreams};
-use mangofront_routes::{EngineFigures, Upstream};
+use mangofront_engines::{ChoiceOptions, Demand, LoadUpdate, NoUpstream, Placement, Upstreams};
+use mangofront_routes::{EngineProfile, Upstream};
 
 use crate::engine::{Engine, Id, Job};
 use crate::figures::figures;
@@ -93,7 +93,7 @@
     Arrival(Id),
     Look(Id),
     PassEnds(usize),
-    NewsComes(usize, Vec<News>),
+    NewsComes(usize, Vec<LoadUpdate>),
     CallerLeaves(Id),
 }
 
@@ -131,7 +131,7 @@
     /// When it was asked last.
     asked_ms: f64,
     asks: u32,
-    placed: Option<Placed>,
+    placed: Option<Placement>,
     parts_left: usize,
     answer: Option<(usize, Job)>,
     events_left: u32,
@@ -144,7 +144,7 @@
 
 /// Daemons and engines in virtual time.
 pub struct Fleet {
-    daemons: Vec<(Upstreams, UnboundedReceiver<News>)>,
+    daemons: Vec<(Upstreams, UnboundedReceiver<LoadUpdate>)>,
     engines: Vec<Engine>,
     listed: Vec<Upstream>,
     requests: Vec<Request>,
@@ -154,7 +154,7 @@
     random: u64,
     news_delay_ms: f64,
     do_callers_leave: bool,
-    figures: EngineFigures,
+    figures: EngineProfile,
 }
 
 impl Fleet {
@@ -168,7 +168,7 @@
         daemons: usize,
         engines: usize,
         options: &ChoiceOptions,
-        figures: EngineFigures,
+        figures: EngineProfile,
     ) -> Self {
         VIRTUAL_MS.set(0.0);
         let listed: Vec<Upstream> = (0..engines).map(upstream).collect();
@@ -206,7 +206,7 @@
         self.news_delay_ms = delay_ms;
         let delay = Duration::from_secs_f64(delay_ms / 1_000.0);
         for (upstreams, _) in &self.daemons {
-            upstreams.set_news_delay(delay);
+            upstreams.set_update_delay(delay);
         }
     }
 
@@ -221,7 +221,7 @@
         for (upstreams, _) in &self.daemons {
             let listed = self.listed.iter().enumerate();
             let there = listed.filter(|(number, _)| is_there(*number));
-            upstreams.set_known(there.map(|(_, one)| one.clone()), &engine);
+            upstreams.set_published(there.map(|(_, one)| one.clone()), &engine);
         }
     }
 
@@ -291,7 +291,9 @@
             VIRTUAL_MS.set(event.at_ms);
             if event.at_ms >= next_list_ms {
                 next_list_ms += 1_000.0;
-                self.daemons.iter().for_each(|(one, _)| one.tell_running());
+                self.daemons
+                    .iter()
+                    .for_each(|(one, _)| one.broadcast_running());
             }
             match event.what {
                 What::Arrival(id) | What::Look(id) => self.place(id),
@@ -303,10 +305,10 @@
         }
     }
 
-    fn hear(&mut self, from: usize, news: &[News]) {
+    fn hear(&mut self, from: usize, news: &[LoadUpdate]) {
         for (to, (upstreams, _)) in self.daemons.iter().enumerate() {
             for one in news.iter().filter(|_| to != from) {
-                upstreams.hear(from as u64 + 2, one.clone());
+                upstreams.apply_update(from as u64 + 2, one.clone());
             }
         }
     }
@@ -401,13 +403,13 @@
         outcome.tokens += request.kind.prompt_tokens;
     }
 
-    fn submit(&mut self, id: Id, placed: Placed) {
+    fn submit(&mut self, id: Id, placed: Placement) {
         let kind = self.requests[id].kind;
-        let count = placed.readers.len();
-        let read_ms = self.figures.read_ms(kind.prompt_tokens) / count as f64;
+        let count = placed.shares.len();
+        let read_ms = self.figures.prefill_ms(kind.prompt_tokens) / count as f64;
         let number = |one: &Upstream| self.listed.iter().position(|listed| listed.id == one.id);
         let chosen: Vec<usize> = placed
-            .readers
+            .shares
             .iter()
             .filter_map(|reader| number(&reader.upstream))
             .collect();
@@ -469,7 +471,7 @@
             None => {
                 request.first_ms = now_ms - request.came_ms;
                 if let Some(placed) = request.placed.as_mut() {
-                    placed.first_event();
+                    placed.record_first_event();
                 }
             }
             Some(last_ms) => request.pause_ms = request.pause_ms.max(now_ms - last_ms),
@@ -480,7 +482,7 @@
             return;
         }
         if let Some(mut placed) = request.placed.take() {
-            placed.answered();
+            placed.record_complete();
         }
         request.is_served = true;
         let kind = request.kind;
--- a/crates/engines/tests/load/sizes.rs
+++ b/crates/engines/tests/load/sizes.rs
@@ -5,7 +5,7 @@
 //! as often as the whole kind all the same.
 
 use mangofront_engines::ChoiceOptions;
-use mangofront_routes::EngineFigures;
+use mangofront_routes::EngineProfile;
 
 use crate::figures::figures;
 use crate::fleet::{Fleet, Kind, Sent};
@@ -82,7 +82,7 @@
         settling_time_ms: 0,
         ..ChoiceOptions::default()
     };
-    let engine = EngineFigures {
+    let engine = EngineProfile {
         slots: 10,
         steps_per_pass: 68,
         ..figures()
--- a/crates/engines/tests/load/time_to_spare.rs
+++ b/crates/engines/tests/load/time_to_spare.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use mangofront_engines::ChoiceOptions;
-use mangofront_routes::EngineFigures;
+use mangofront_routes::EngineProfile;
 
 use crate::fleet::{Fleet, Kind, Outcome};
 use crate::worth::{Worth, earned_percent};
@@ -68,17 +68,17 @@
 /// A stretch of time: requests of each kind a second, from one second to another.
 type Stretch = ([f64; 3], f64, f64);
 
-fn engine() -> EngineFigures {
-    EngineFigures {
+fn engine() -> EngineProfile {
+    EngineProfile {
         slots: 12,
         memory_tokens: 382_500,
         steps_per_pass: 52,
         step: Duration::from_micros(925),
         step_per_request_ms: 0.004_83,
         step_per_context_k_ms: 0.002_54,
-        read_tokens_per_s: 256_000.0,
-        read_per_pairs_m_ms: 0.091_7,
-        read_chunk_tokens: 2_048,
+        prefill_tokens_per_s: 256_000.0,
+        prefill_per_pairs_m_ms: 0.091_7,
+        prefill_chunk_tokens: 2_048,
         step_per_spread_prompt_ms: 0.1,
     }
 }
--- a/crates/entry/src/completion/mod.rs
+++ b/crates/entry/src/completion/mod.rs
@@ -98,7 +98,7 @@
     let entry = active.entry();
     let caller = identify(entry, &head.headers, arrived)?;
     let body = bodies::read(active, caller.deadline).await?;
-    let mut prompt = mangofront_prompt::read(endpoint, &body.content)?;
+    let mut prompt = mangofront_prompt::parse(endpoint, &body.content)?;
     check_model(entry, &prompt.model)?;
     let demand = Demand {
         model: prompt.model.clone(),
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -132,7 +132,7 @@
 
 /// Whether a repeated request may fare better elsewhere.
 fn is_fault(call: &Call, status: StatusCode) -> bool {
-    call.route.safety.may_repeat() && status.is_server_error()
+    call.route.safety.may_retry() && status.is_server_error()
 }
 
 /// Reads an answer of one piece.
@@ -148,11 +148,11 @@
     let limit_bytes = gateway.options().answer_limit_bytes;
     let reading = pin!(answer.bytes(limit_bytes, call.deadline));
     let read = until_restart(&mut placed, reading).await;
-    placed.first_event();
+    placed.record_first_event();
     drop(reservations);
     match read.ok_or_else(restarted)? {
         Ok(body) => {
-            placed.answered();
+            placed.record_complete();
             if !status.is_server_error() {
                 note_answered(gateway, call);
             }
@@ -161,7 +161,7 @@
                 headers,
                 body,
                 upstream: upstream.id,
-                readers: placed.readers.len(),
+                readers: placed.shares.len(),
                 expected: placed.expected_first_event,
             })
         }
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -13,9 +13,9 @@
 use futures_util::future::{Either, select};
 use http::{Request, StatusCode};
 use http_body_util::Full;
-use mangofront_engines::{Demand, Failure, NoUpstream, Placed, Reader, UpstreamKey, key_of};
+use mangofront_engines::{Demand, Failure, NoUpstream, Placement, Share, UpstreamKey, key_of};
 use mangofront_http::Outcome;
-use mangofront_routes::{Safety, Upstream};
+use mangofront_routes::{RetrySafety, Upstream};
 use mangofront_upstream::{Answer, Connections, SendError, Target};
 
 use crate::call::Call;
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub(crate) struct Answering {
     pub(crate) answer: Answer,
-    pub(crate) placed: Placed,
+    pub(crate) placed: Placement,
     pub(crate) upstream: Upstream,
     /// Held as long as the request uses them.
     pub(crate) reservations: Reservations,
@@ -81,7 +81,7 @@
         call.id,
         placed.work_id()
     );
-    let reservations = Reservations::make(gateway.orders(), &placed.readers, &name)
+    let reservations = Reservations::make(gateway.orders(), &placed.shares, &name)
         .await
         .map_err(|upstream| no_memory(gateway, call, &upstream))?;
     // While it waited, more upstreams may have crashed under it elsewhere.
@@ -132,7 +132,7 @@
 }
 
 /// Chooses the upstreams; waits while they have too much to do.
-async fn place(gateway: &Gateway, call: &Call, history: &mut History) -> Result<Placed, Failed> {
+async fn place(gateway: &Gateway, call: &Call, history: &mut History) -> Result<Placement, Failed> {
     let asked = Instant::now();
     let mut waited = Duration::ZERO;
     loop {
@@ -162,8 +162,8 @@
 /// What placement has to know of a request.
 fn demand(call: &Call, history: &History, waited: Duration, connections: &Connections) -> Demand {
     let gap = match call.route.safety {
-        Safety::Stream { gap, .. } => gap,
-        Safety::Idempotent | Safety::AtMostOnce => Duration::ZERO,
+        RetrySafety::Stream { gap, .. } => gap,
+        RetrySafety::Idempotent | RetrySafety::AtMostOnce => Duration::ZERO,
     };
     let tokens = call.tokens;
     Demand {
@@ -176,7 +176,7 @@
         request: call.fingerprint.name(),
         is_refusable: history.sent == 0,
         // Others open one of their own in any case.
-        connected: match call.route.safety.may_repeat() {
+        connected: match call.route.safety.may_retry() {
             true => connections.unused(),
             false => HashSet::new(),
         },
@@ -192,15 +192,15 @@
 fn request(
     gateway: &Gateway,
     call: &Call,
-    placed: &Placed,
+    placed: &Placement,
     reservations: &Reservations,
     last_event_id: Option<EventId>,
 ) -> Result<Request<Full<Bytes>>, Failed> {
-    let helper = |reader: &Reader| Helper {
+    let helper = |reader: &Share| Helper {
         address: reader.upstream.address,
         reservation: reservations.at(&reader.upstream),
     };
-    let helpers: Vec<Helper> = placed.readers.iter().skip(1).map(helper).collect();
+    let helpers: Vec<Helper> = placed.shares.iter().skip(1).map(helper).collect();
     let organisation = call.organisation.as_ref();
     let attempt = AttemptHead {
         upstream: &placed.answering().id,
@@ -242,24 +242,24 @@
 /// How long to wait for the head of the answer.
 ///
 /// Silence is no reason to give up a request that may not be sent again.
-fn patience(gateway: &Gateway, call: &Call, history: &History, placed: &Placed) -> Duration {
+fn patience(gateway: &Gateway, call: &Call, history: &History, placed: &Placement) -> Duration {
     let left = call.time_left();
-    let may_repeat = call.route.safety.may_repeat();
-    if !may_repeat || history.sent + 1 >= call.route.attempts {
+    let may_retry = call.route.safety.may_retry();
+    if !may_retry || history.sent + 1 >= call.route.attempts {
         return left;
     }
     match call.route.safety {
-        Safety::Stream { .. } => {
+        RetrySafety::Stream { .. } => {
             let predicted = placed.expected_first_event * PATIENCE_FACTOR;
             left.min(predicted + gateway.stall_timeout())
         }
-        Safety::Idempotent | Safety::AtMostOnce => left / PLAIN_PATIENCE_SHARE,
+        RetrySafety::Idempotent | RetrySafety::AtMostOnce => left / PLAIN_PATIENCE_SHARE,
     }
 }
 
 /// Waits for an upstream, but no longer than it lives; none when it has started again.
 pub(crate) async fn until_restart<F: Future + Unpin>(
-    placed: &mut Placed,
+    placed: &mut Placement,
     future: F,
 ) -> Option<F::Output> {
     match select(future, pin!(placed.restarted())).await {
@@ -291,8 +291,8 @@
     // said meanwhile that it leaves, or this daemon may have stood still.
     let key = key_of(upstream);
     let parts = gateway.parts();
-    let is_wanted = || parts.published.may_be_acted_on() && parts.upstreams.takes_work(key);
-    let sent = if call.route.safety.may_repeat() {
+    let is_wanted = || parts.published.may_be_acted_on() && parts.upstreams.accepts_work(key);
+    let sent = if call.route.safety.may_retry() {
         connections
             .send_if(&target, request, deadline, is_wanted)
             .await
@@ -337,7 +337,7 @@
             return Err(Failed::MayHaveRun(format!("an answer to {other}")));
         }
     }
-    gateway.parts().upstreams.answered(key);
+    gateway.parts().upstreams.record_answer(key);
     Ok(answer)
 }
 
--- a/crates/gateway/src/datagram.rs
+++ b/crates/gateway/src/datagram.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use mangofront_dissemination::{Scope, Sequence, Teller, Telling};
-use mangofront_engines::News;
+use mangofront_engines::LoadUpdate;
 use mangofront_routes::{ConfigurationVersion, Upstream, UpstreamId};
 use serde::{Deserialize, Serialize};
 
@@ -36,13 +36,13 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Message {
     /// What became of requests and upstreams, told by the sender itself.
-    News(Sequence, Vec<News>),
+    News(Sequence, Vec<LoadUpdate>),
     /// The same of any daemon, to be passed on by the receiver.
-    PassOn(Scope, Vec<Telling<News>>),
+    PassOn(Scope, Vec<Telling<LoadUpdate>>),
     /// The same, passed on by a relay of the receiver's zone.
-    PassedOn(Vec<Telling<News>>),
+    PassedOn(Vec<Telling<LoadUpdate>>),
     /// All requests of the sender that have not ended.
-    Introduction(Vec<News>),
+    Introduction(Vec<LoadUpdate>),
     /// Asks for [`Message::Introduction`].
     Introduce,
     /// Asks how far the receiver knows what is published, and for the changes of upstreams
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -9,7 +9,7 @@
 use std::str::FromStr;
 
 use http::Method;
-use mangofront_engines::RequestName;
+use mangofront_engines::RequestFingerprint;
 use thiserror::Error;
 
 /// Bytes of a fingerprint: too many for two requests to share one by chance.
@@ -47,13 +47,13 @@
 impl Fingerprint {
     /// The same as a number.
     #[must_use]
-    pub fn name(self) -> RequestName {
-        RequestName::from_be_bytes(self.0)
+    pub fn name(self) -> RequestFingerprint {
+        RequestFingerprint::from_be_bytes(self.0)
     }
 }
 
-impl From<RequestName> for Fingerprint {
-    fn from(name: RequestName) -> Self {
+impl From<RequestFingerprint> for Fingerprint {
+    fn from(name: RequestFingerprint) -> Self {
         Self(name.to_be_bytes())
     }
 }
@@ -71,7 +71,7 @@
         if text.len() != 2 * LENGTH_BYTES || !is_hexadecimal {
             return Err(NoFingerprint);
         }
-        let name = RequestName::from_str_radix(text, 16).map_err(|_error| NoFingerprint)?;
+        let name = RequestFingerprint::from_str_radix(text, 16).map_err(|_error| NoFingerprint)?;
         Ok(name.into())
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -131,7 +131,7 @@
 
     /// Ends the quarantine of a request at all daemons; whether there was one.
     pub fn lift_quarantine(&self, fingerprint: Fingerprint) -> bool {
-        let was_kept = self.0.parts.upstreams.clear(fingerprint.name());
+        let was_kept = self.0.parts.upstreams.clear_crashes(fingerprint.name());
         if was_kept {
             trace::cleared(fingerprint, "lifted by the operator");
         }
@@ -195,7 +195,7 @@
     /// Leaves an upstream out for a while after a failure of a request there.
     pub(crate) fn leave_out(&self, upstream: UpstreamKey, failure: Failure, request: &str) {
         let upstreams = &self.0.parts.upstreams;
-        if let Some(time) = upstreams.failed(upstream, failure) {
+        if let Some(time) = upstreams.record_failure(upstream, failure) {
             let id = upstreams.id_of(upstream).unwrap_or_default();
             trace::upstream_left_out(&id, failure, time, request);
         }
--- a/crates/gateway/src/history.rs
+++ b/crates/gateway/src/history.rs
@@ -106,7 +106,7 @@
         {
             return false;
         }
-        if self.may_have_run && !call.route.safety.may_repeat() {
+        if self.may_have_run && !call.route.safety.may_retry() {
             return false;
         }
         if call.time_left() < LEAST_TIME || self.unreachable >= UNREACHABLE_LIMIT {
--- a/crates/gateway/src/published.rs
+++ b/crates/gateway/src/published.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use compio::runtime::spawn;
 use mangofront_engines::Upstreams;
-use mangofront_routes::{ConfigurationVersion, EngineFigures, RouteTable, Upstream, UpstreamId};
+use mangofront_routes::{ConfigurationVersion, EngineProfile, RouteTable, Upstream, UpstreamId};
 use mangofront_settings::ids::ServiceName;
 use mangofront_upstream::Connections;
 
@@ -429,7 +429,7 @@
     }
 
     pub(crate) fn pass_on_upstreams(&self) {
-        let figures: HashMap<ServiceName, Rc<EngineFigures>> = match self.table() {
+        let figures: HashMap<ServiceName, Rc<EngineProfile>> = match self.table() {
             Some(table) => table
                 .services()
                 .filter_map(|service| {
@@ -448,7 +448,7 @@
             table.is_none_or(|table| table.service(&upstream.service).is_some())
         };
         let usable = registrations.used().filter(is_in_force).cloned();
-        for restarted in self.0.upstreams.set_known(usable, &figures) {
+        for restarted in self.0.upstreams.set_published(usable, &figures) {
             trace::upstream_restarted(&restarted);
             let address = restarted.address;
             self.0.connections.retain(|other| *other != address);
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -4,12 +4,12 @@
 //! have crashed, or only the connection is gone. Which of them it was shows at once by
 //! whether it still takes connections: the registrations tell of its end seconds later.
 //! What is found is kept with the upstreams, which tells all daemons
-//! ([`mangofront_engines::Standing`]); here it decides whether a request may be sent.
+//! ([`mangofront_engines::QuarantineState`]); here it decides whether a request may be sent.
 
 use std::time::{Duration, Instant};
 
 use compio::runtime::spawn;
-use mangofront_engines::{CrashStatus, RequestName, Standing, key_of};
+use mangofront_engines::{CrashStatus, QuarantineState, RequestFingerprint, key_of};
 use mangofront_routes::Upstream;
 use mangofront_upstream::{SendError, Target};
 use serde::Serialize;
@@ -49,9 +49,9 @@
 
 impl From<CrashStatus> for QuarantinedRequest {
     fn from(status: CrashStatus) -> Self {
-        let left = match status.standing {
-            Standing::Quarantined { left } => left,
-            Standing::Open { .. } | Standing::OnTrial => Duration::ZERO,
+        let left = match status.quarantine {
+            QuarantineState::Quarantined { remaining } => remaining,
+            QuarantineState::Open { .. } | QuarantineState::TrialAllowed => Duration::ZERO,
         };
         Self {
             fingerprint: Fingerprint::from(status.request).to_string(),
@@ -65,17 +65,19 @@
 pub(crate) fn admit(gateway: &Gateway, call: &Call, history: &mut History) -> Result<(), Failed> {
     let name = call.fingerprint.name();
     let upstreams = &gateway.parts().upstreams;
-    match upstreams.standing(name) {
+    match upstreams.quarantine_state(name) {
         _ if history.is_trial => Ok(()),
-        Standing::Open { .. } => Ok(()),
-        Standing::Quarantined { left } => Err(Failed::Quarantined { retry_after: left }),
-        Standing::OnTrial if is_chosen(gateway, name) => {
+        QuarantineState::Open { .. } => Ok(()),
+        QuarantineState::Quarantined { remaining } => Err(Failed::Quarantined {
+            retry_after: remaining,
+        }),
+        QuarantineState::TrialAllowed if is_chosen(gateway, name) => {
             upstreams.begin_trial(name);
             history.is_trial = true;
             trace::tried_again(call);
             Ok(())
         }
-        Standing::OnTrial => Err(Failed::Quarantined {
+        QuarantineState::TrialAllowed => Err(Failed::Quarantined {
             retry_after: RETRY_AFTER_TRIAL,
         }),
     }
@@ -83,7 +85,7 @@
 
 /// Whether this daemon is the one of all that tries a request again: the first by
 /// rendezvous hashing among those that answer.
-fn is_chosen(gateway: &Gateway, request: RequestName) -> bool {
+fn is_chosen(gateway: &Gateway, request: RequestFingerprint) -> bool {
     let rank = |instance: &str| xxh3_64_with_seed(instance.as_bytes(), request as u64);
     let own = rank(&gateway.options().instance);
     let members = gateway.parts().peers.members();
@@ -96,7 +98,10 @@
 /// A request under which no upstream crashed so far goes on elsewhere meanwhile; any other
 /// waits for what is found, so that no further upstream crashes before that is known.
 pub(crate) async fn note_break(gateway: &Gateway, call: &Call, upstream: &Upstream) {
-    let standing = gateway.parts().upstreams.standing(call.fingerprint.name());
+    let standing = gateway
+        .parts()
+        .upstreams
+        .quarantine_state(call.fingerprint.name());
     let check = check(
         gateway.clone(),
         call.id.clone(),
@@ -104,14 +109,18 @@
         upstream.clone(),
     );
     match standing {
-        Standing::Open { crashes: 0 } => spawn(check).detach(),
+        QuarantineState::Open { crashes: 0 } => spawn(check).detach(),
         _ => check.await,
     }
 }
 
 /// Notes that a request was answered whole, so that it is not at fault for crashes.
 pub(crate) fn note_answered(gateway: &Gateway, call: &Call) {
-    if gateway.parts().upstreams.clear(call.fingerprint.name()) {
+    if gateway
+        .parts()
+        .upstreams
+        .clear_crashes(call.fingerprint.name())
+    {
         trace::cleared(call.fingerprint, "answered");
     }
 }
@@ -127,7 +136,7 @@
     let Some(evidence) = evidence(&gateway, &upstream).await else {
         return;
     };
-    let crashes = upstreams.crashed_under(fingerprint.name(), key);
+    let crashes = upstreams.record_crash(fingerprint.name(), key);
     gateway.parts().metrics.upstream_crashed();
     trace::crashed_under(&request, fingerprint, &upstream, crashes, evidence);
 }
@@ -135,7 +144,7 @@
 /// What shows that an upstream has ended; none if it lives, or can't be asked.
 async fn evidence(gateway: &Gateway, upstream: &Upstream) -> Option<&'static str> {
     let upstreams = &gateway.parts().upstreams;
-    if upstreams.has_started_again(upstream) {
+    if upstreams.has_restarted(upstream) {
         return Some("has started again");
     }
     // One that left before is gone by its own will.
@@ -180,7 +189,7 @@
             }
         }
         Err(SendError::Timeout { .. }) => {
-            let silent = gateway.parts().upstreams.silent_zones();
+            let silent = gateway.parts().upstreams.unreachable_zones();
             match silent.contains(&upstream.availability_zone) {
                 true => Look::Unknown,
                 false => Look::Down("takes no connection in time"),
--- a/crates/gateway/src/registrations.rs
+++ b/crates/gateway/src/registrations.rs
@@ -157,7 +157,7 @@
         if before.is_some_and(|before| before.started_at_ms > upstream.started_at_ms) {
             return Registered::EarlierLife;
         }
-        let is_unchanged = before.is_some_and(|before| before.says_the_same(&upstream));
+        let is_unchanged = before.is_some_and(|before| before.eq_except_registered_at(&upstream));
         self.kept.remove(&id);
         self.note(id, position, Standing::Registered(upstream), late);
         match is_unchanged {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -15,9 +15,9 @@
 use compio::time::Elapsed;
 use futures_util::{Stream, StreamExt};
 use http::{HeaderMap, StatusCode};
-use mangofront_engines::{Failure, Placed, key_of};
+use mangofront_engines::{Failure, Placement, key_of};
 use mangofront_http::Aborted;
-use mangofront_routes::{Safety, Upstream};
+use mangofront_routes::{RetrySafety, Upstream};
 use mangofront_telemetry::metrics::RequestOutcome;
 use mangofront_upstream::SendError;
 
@@ -46,7 +46,7 @@
 /// An upstream's stream.
 struct Running {
     chunks: Chunks,
-    placed: Placed,
+    placed: Placement,
     upstream: Upstream,
     /// Held until the stream ends.
     _reservations: Reservations,
@@ -106,7 +106,7 @@
         while opening.first.is_empty() && !opening.is_over {
             opening.read_chunk(gateway, call, deadline).await?;
         }
-        opening.running.placed.first_event();
+        opening.running.placed.record_first_event();
         Ok(opening)
     }
 
@@ -145,9 +145,14 @@
 }
 
 /// How long to wait for the first event.
-fn first_patience(gateway: &Gateway, call: &Call, history: &History, placed: &Placed) -> Duration {
+fn first_patience(
+    gateway: &Gateway,
+    call: &Call,
+    history: &History,
+    placed: &Placement,
+) -> Duration {
     let left = call.time_left();
-    if !call.route.safety.may_repeat() || !history.may_send_again(call) {
+    if !call.route.safety.may_retry() || !history.may_send_again(call) {
         return left;
     }
     let predicted = placed.expected_first_event * 3 + gateway.stall_timeout();
@@ -213,7 +218,7 @@
                     self.outcome = RequestOutcome::Answered;
                     note_answered(&self.gateway, &self.call);
                     if let Some(running) = self.running.as_mut() {
-                        running.placed.answered();
+                        running.placed.record_complete();
                     }
                 }
                 return None;
@@ -238,7 +243,7 @@
         match next {
             Ok(Some(Ok(chunk))) => {
                 let key = key_of(&running.upstream);
-                self.gateway.parts().upstreams.heard_from(key);
+                self.gateway.parts().upstreams.received_from(key);
                 let framed = self.framer.push(&chunk);
                 let framed =
                     framed.ok_or_else(|| Failed::MayHaveRun("an endless event".to_owned()))?;
@@ -288,7 +293,7 @@
             match resumed {
                 Ok(answering) if answering.answer.status.is_success() => {
                     let mut running = Running::new(answering);
-                    running.placed.first_event();
+                    running.placed.record_first_event();
                     self.running = Some(running);
                     self.framer = EventFramer::after(last_id);
                     return Ok(());
@@ -316,7 +321,7 @@
         let (upstream, readers, expected) = match &self.running {
             Some(running) => (
                 running.upstream.id.as_str(),
-                running.placed.readers.len(),
+                running.placed.shares.len(),
                 running.placed.expected_first_event,
             ),
             None => ("", 0, Duration::ZERO),
@@ -338,7 +343,7 @@
 
 /// Silence after which the upstream is given up, if another one may go on.
 fn silence(call: &Call, history: &History) -> Duration {
-    let Safety::Stream { resumable, gap } = call.route.safety else {
+    let RetrySafety::Stream { resumable, gap } = call.route.safety else {
         return call.time_left();
     };
     if !resumable || !history.may_send_again(call) {
--- a/crates/gateway/src/reservations.rs
+++ b/crates/gateway/src/reservations.rs
@@ -11,7 +11,7 @@
 use futures_channel::oneshot;
 use futures_util::future::join_all;
 use http::{HeaderValue, StatusCode, header};
-use mangofront_engines::Reader;
+use mangofront_engines::Share;
 use mangofront_routes::Upstream;
 use mangofront_upstream::{Connections, Target};
 
@@ -69,7 +69,7 @@
     /// Id of the upstream that did not reserve.
     pub(crate) async fn make(
         orders: &Orders,
-        readers: &[Reader],
+        readers: &[Share],
         name: &str,
     ) -> Result<Self, Upstream> {
         let wanted = readers.iter().enumerate().filter_map(|(place, reader)| {
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -26,7 +26,7 @@
 use mangofront_dissemination::{
     Held, Life, Neighbour, Paths, RELAYS, Sequence, Sequences, Teller, Telling, WINDOW,
 };
-use mangofront_engines::{News, Upstreams};
+use mangofront_engines::{LoadUpdate, Upstreams};
 use mangofront_peers::{Member, Peers};
 use mangofront_settings::ids::{AvailabilityZone, Incarnation, InstanceId};
 use thiserror::Error;
@@ -103,7 +103,7 @@
     sequences: RefCell<Sequences>,
     paths: RefCell<Option<(Instant, Rc<Paths>)>>,
     /// What this daemon has to pass on.
-    held: RefCell<Held<News>>,
+    held: RefCell<Held<LoadUpdate>>,
     /// Whether a task waits to pass on what is held.
     is_passing_on: Cell<bool>,
     /// When a relay of the zone last passed something on to this daemon.
@@ -168,7 +168,7 @@
             _ => {
                 let looked_up = Rc::new(self.look_up_paths());
                 let is_relayed = looked_up.is_relayed(self.relay_from_daemons);
-                self.upstreams.set_news_delay(match is_relayed {
+                self.upstreams.set_update_delay(match is_relayed {
                     true => TELLING_DELAY + WINDOW,
                     false => TELLING_DELAY,
                 });
@@ -256,7 +256,7 @@
     /// Tells a daemon that has just started, or was out of reach, of all that has
     /// not ended.
     async fn introduce(&self, to: SocketAddr) {
-        for part in parts(self.upstreams.introduction()) {
+        for part in parts(self.upstreams.load_snapshot()) {
             self.send(self.datagram(Message::Introduction(part)), to)
                 .await;
         }
@@ -321,10 +321,10 @@
         }
     }
 
-    async fn take_news(&self, life: Life, news: Vec<News>, from: SocketAddr) {
+    async fn take_news(&self, life: Life, news: Vec<LoadUpdate>, from: SocketAddr) {
         let mut has_unknown = false;
         for one in news {
-            has_unknown |= self.upstreams.hear(life, one);
+            has_unknown |= self.upstreams.apply_update(life, one);
         }
         if has_unknown {
             self.send(self.datagram(Message::Introduce), from).await;
--- a/crates/gateway/src/sharing/lives.rs
+++ b/crates/gateway/src/sharing/lives.rs
@@ -28,7 +28,7 @@
     /// Forgets a life that has ended, and its work.
     fn forget(&self, daemon: u64, incarnation: Incarnation) {
         let life = life_of(daemon, incarnation);
-        self.upstreams.forget(life);
+        self.upstreams.remove_daemon(life);
         self.sequences.borrow_mut().forget(life);
     }
 
@@ -42,7 +42,7 @@
         if known == Known::Ended {
             return false;
         }
-        self.upstreams.heard_zone(&other.zone);
+        self.upstreams.mark_zone_reachable(&other.zone);
         if known == Known::New {
             self.introduce(from).await;
         }
--- a/crates/gateway/src/sharing/relaying.rs
+++ b/crates/gateway/src/sharing/relaying.rs
@@ -9,7 +9,7 @@
 use futures_channel::mpsc::UnboundedReceiver;
 use futures_util::StreamExt;
 use mangofront_dissemination::{Paths, RELAY_SILENCE, Scope, Telling};
-use mangofront_engines::News;
+use mangofront_engines::LoadUpdate;
 
 use super::Sharing;
 use crate::datagram::{Message, parts};
@@ -19,7 +19,7 @@
 
 impl Sharing {
     /// Tells the others what comes out of `news`, for ever.
-    pub async fn tell(self: Rc<Self>, mut news: UnboundedReceiver<News>) {
+    pub async fn tell(self: Rc<Self>, mut news: UnboundedReceiver<LoadUpdate>) {
         while let Some(first) = news.next().await {
             let mut batch = vec![first];
             while let Ok(next) = news.try_recv() {
@@ -34,7 +34,7 @@
         }
     }
 
-    async fn tell_all(&self, news: Vec<News>, paths: &Paths) {
+    async fn tell_all(&self, news: Vec<LoadUpdate>, paths: &Paths) {
         for part in parts(news) {
             let message = Message::News(self.next_sequence(), part);
             self.send_all(message, &paths.others).await;
@@ -43,7 +43,7 @@
 
     /// Has the relays of the zone tell the others; does so itself while nothing is
     /// heard of them.
-    async fn tell_by_relays(self: &Rc<Self>, news: Vec<News>, paths: &Paths) {
+    async fn tell_by_relays(self: &Rc<Self>, news: Vec<LoadUpdate>, paths: &Paths) {
         let is_heard = |at: Instant| at.elapsed() < RELAY_SILENCE;
         let Some(slice) = paths.slice(paths.slice_of(self.daemon)) else {
             return self.tell_all(news, paths).await;
@@ -66,7 +66,7 @@
     }
 
     /// Holds a telling until it is to be passed on.
-    pub(super) fn hold(self: &Rc<Self>, telling: Telling<News>, scope: Scope, rank: usize) {
+    pub(super) fn hold(self: &Rc<Self>, telling: Telling<LoadUpdate>, scope: Scope, rank: usize) {
         let now = Instant::now();
         self.held.borrow_mut().hold(telling, scope, rank, now);
         if !self.is_passing_on.replace(true) {
@@ -93,8 +93,8 @@
     }
 
     /// Passes on to the relays of the other zones what they have not heard.
-    async fn pass_on_far(&self, due: &[(Scope, Telling<News>)], paths: &Paths) {
-        let mut by_slice: BTreeMap<usize, Vec<Telling<News>>> = BTreeMap::new();
+    async fn pass_on_far(&self, due: &[(Scope, Telling<LoadUpdate>)], paths: &Paths) {
+        let mut by_slice: BTreeMap<usize, Vec<Telling<LoadUpdate>>> = BTreeMap::new();
         let unheard = due.iter().filter(|(scope, _)| *scope == Scope::Fleet);
         for (_, telling) in unheard {
             let slice = paths.slice_of(telling.teller.daemon);
@@ -118,12 +118,12 @@
         compio::time::sleep(REPEAT_PERIOD.mul_f64(share)).await;
         loop {
             compio::time::sleep(REPEAT_PERIOD).await;
-            self.upstreams.tell_running();
+            self.upstreams.broadcast_running();
         }
     }
 
     /// Takes in what a daemon told; whether it was new.
-    pub(super) async fn take_telling(&self, telling: &Telling<News>) -> bool {
+    pub(super) async fn take_telling(&self, telling: &Telling<LoadUpdate>) -> bool {
         let teller = &telling.teller;
         let from = SocketAddr::new(teller.address, self.own.port());
         if !self.meet(teller, from).await {
--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use mangofront_engines::{Failure, NoUpstream, Placed};
+use mangofront_engines::{Failure, NoUpstream, Placement};
 use mangofront_routes::{ConfigurationVersion, RouteTable, Upstream, UpstreamId};
 use mangofront_settings::ids::InstanceId;
 use mangofront_telemetry::metrics::{Disposition, LengthBucket, Metrics, RequestOutcome};
@@ -147,10 +147,10 @@
 }
 
 /// A request goes to the upstreams that were chosen for it.
-pub(crate) fn placed(call: &Call, history: &History, placed: &Placed, published: &Published) {
+pub(crate) fn placed(call: &Call, history: &History, placed: &Placement, published: &Published) {
     let known = published.confirmation();
     let ids: Vec<&str> = placed
-        .readers
+        .shares
         .iter()
         .map(|reader| reader.upstream.id.as_str())
         .collect();
@@ -164,9 +164,9 @@
         helpers = ids[1..].join(" ").as_str(),
         waited_ms = milliseconds(history.waited),
         expected_ms = milliseconds(placed.expected_first_event),
-        queue_ms = milliseconds(placed.queue),
-        daemons_heard = placed.daemons_heard,
-        oldest_news_ms = milliseconds(placed.oldest_news),
+        queue_ms = milliseconds(placed.queue_delay),
+        daemons_heard = placed.known_daemons,
+        oldest_news_ms = milliseconds(placed.oldest_update),
         configuration_version = call.version,
         position = known.map(|known| known.upstreams_position),
         position_age_ms = known.map(|known| known.age_ms);
--- a/crates/gateway/src/zones.rs
+++ b/crates/gateway/src/zones.rs
@@ -37,7 +37,8 @@
     let mut silent = BTreeSet::new();
     loop {
         compio::time::sleep(LOOK_PERIOD).await;
-        let now_silent: BTreeSet<AvailabilityZone> = upstreams.silent_zones().into_iter().collect();
+        let now_silent: BTreeSet<AvailabilityZone> =
+            upstreams.unreachable_zones().into_iter().collect();
         for zone in now_silent.symmetric_difference(&silent) {
             trace::zone_changed(zone, silent.contains(zone));
         }
@@ -45,7 +46,7 @@
         if !upstreams.placed_within(IN_USE_FOR) {
             continue;
         }
-        for upstream in upstreams.quiet_zones(QUIET_AFTER) {
+        for upstream in upstreams.probe_targets(QUIET_AFTER) {
             spawn(try_one(upstream, upstreams.clone(), connections.clone())).detach();
         }
     }
@@ -60,7 +61,7 @@
         .open(&target, Instant::now() + CONNECT_TIMEOUT)
         .await;
     match opened {
-        Ok(_opened) => upstreams.heard_from(key_of(&upstream)),
+        Ok(_opened) => upstreams.received_from(key_of(&upstream)),
         Err(error) => log::debug!(
             "gateway: zone {} can't be reached: {error}",
             upstream.availability_zone
--- a/crates/gateway/tests/fleet/daemon.rs
+++ b/crates/gateway/tests/fleet/daemon.rs
@@ -145,7 +145,7 @@
 
     /// Whether it would choose an upstream.
     pub fn takes_work(&self, upstream: UpstreamKey) -> bool {
-        self.upstreams.takes_work(upstream)
+        self.upstreams.accepts_work(upstream)
     }
 
     /// Whether it sees the whole fleet alive.
--- a/crates/gateway/tests/fleet/script.rs
+++ b/crates/gateway/tests/fleet/script.rs
@@ -6,7 +6,7 @@
 
 use http::StatusCode;
 use mangofront_routes::{
-    CallerLimits, Route, RouteTable, RouteTableParts, Safety, Service, Split, Upstream,
+    CallerLimits, RetrySafety, Route, RouteTable, RouteTableParts, Service, Split, Upstream,
 };
 use rand::rngs::StdRng;
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -204,7 +204,7 @@
         name: format!("route-{number}"),
         host: format!("hall{}.example", number % 50),
         prefix: format!("/readings/{number}/"),
-        safety: Safety::Idempotent,
+        safety: RetrySafety::Idempotent,
         timeout: Duration::from_secs(4),
         target: Duration::from_millis(300),
         priority: 1,
--- a/crates/load/src/answers.rs
+++ b/crates/load/src/answers.rs
@@ -33,7 +33,7 @@
         };
         // The tool wrote the body itself. One that can't be read is refused by
         // the daemon too, and then no answer is compared.
-        let (digest, max_tokens) = mangofront_prompt::read(endpoint, body)
+        let (digest, max_tokens) = mangofront_prompt::parse(endpoint, body)
             .map_or((0, 0), |prompt| (prompt.digest, prompt.max_tokens));
         Expected {
             digest,
--- a/crates/load/tests/prompts.rs
+++ b/crates/load/tests/prompts.rs
@@ -3,7 +3,7 @@
 use mangofront_load::scenario::Endpoint;
 use mangofront_load::schedule::{History, ModelWork};
 use mangofront_load::text::Slab;
-use mangofront_prompt::{BLOCK_TOKENS, Prompt, read};
+use mangofront_prompt::{BLOCK_TOKENS, Prompt, parse};
 
 fn work(endpoint: Endpoint, length_tokens: u64, shared_tokens: u64) -> ModelWork {
     ModelWork {
@@ -24,7 +24,7 @@
         Endpoint::Completions => mangofront_prompt::Endpoint::Completions,
         Endpoint::ChatCompletions => mangofront_prompt::Endpoint::ChatCompletions,
     };
-    read(endpoint, &slab.body(work, seed)).expect("the tool writes sound bodies")
+    parse(endpoint, &slab.body(work, seed)).expect("the tool writes sound bodies")
 }
 
 #[test]
--- a/crates/prompt/src/lib.rs
+++ b/crates/prompt/src/lib.rs
@@ -103,7 +103,7 @@
 /// # Errors
 /// [`PromptError`] when the body is no JSON of that shape, has no text, or
 /// asks for no token.
-pub fn read(endpoint: Endpoint, body: &[u8]) -> Result<Prompt, PromptError> {
+pub fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Prompt, PromptError> {
     let body: Body<'_> = serde_json::from_slice(body)?;
     let mut text = BlockHasher::default();
     match endpoint {
--- a/crates/prompt/tests/read.rs
+++ b/crates/prompt/tests/read.rs
@@ -1,13 +1,13 @@
 //! Reading of request bodies: lengths, blocks and what is refused.
 
-use mangofront_prompt::{BLOCK_BYTES, Endpoint, LengthBucket, Prompt, PromptError, read};
+use mangofront_prompt::{BLOCK_BYTES, Endpoint, LengthBucket, Prompt, PromptError, parse};
 use quickcheck::QuickCheck;
 use serde_json::{Value, json};
 
 const ENDPOINTS: [Endpoint; 2] = [Endpoint::Completions, Endpoint::ChatCompletions];
 
 fn read_value(endpoint: Endpoint, body: &Value) -> Result<Prompt, PromptError> {
-    read(endpoint, body.to_string().as_bytes())
+    parse(endpoint, body.to_string().as_bytes())
 }
 
 fn completion(text: &str) -> Result<Prompt, PromptError> {
@@ -143,9 +143,9 @@
         let mut spliced = good.clone();
         spliced.splice(at..at, noise.iter().copied());
         ENDPOINTS.iter().all(|endpoint| {
-            let _ = read(*endpoint, &noise);
-            let _ = read(*endpoint, &spliced);
-            read(*endpoint, &good[..at]).is_err()
+            let _ = parse(*endpoint, &noise);
+            let _ = parse(*endpoint, &spliced);
+            parse(*endpoint, &good[..at]).is_err()
         })
     }
     QuickCheck::new()
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -12,8 +12,8 @@
 mod table;
 mod upstream;
 
-pub use route::{Route, Safety, Split};
-pub use service::{EngineFigures, Service};
+pub use route::{RetrySafety, Route, Split};
+pub use service::{EngineProfile, Service};
 pub use table::{CallerLimits, Organisation, RouteTable, RouteTableParts};
 pub use upstream::{Upstream, UpstreamId};
 
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -7,7 +7,7 @@
 
 /// What may be done with a request whose first attempt ended without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Safety {
+pub enum RetrySafety {
     /// May run any number of times.
     Idempotent,
     /// May run once at most.
@@ -21,10 +21,10 @@
     },
 }
 
-impl Safety {
+impl RetrySafety {
     /// Whether a request may be sent again after one that may have run.
     #[must_use]
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         match self {
             Self::Idempotent => true,
             Self::AtMostOnce => false,
@@ -58,7 +58,7 @@
     /// Start of the path, with a slash at both ends.
     pub prefix: String,
     /// What may be repeated.
-    pub safety: Safety,
+    pub safety: RetrySafety,
     /// Longest time for which a caller is kept waiting.
     pub timeout: Duration,
     /// Time to the answer, or to its first event, that operators aim at.
--- a/crates/routes/src/service.rs
+++ b/crates/routes/src/service.rs
@@ -13,7 +13,7 @@
     /// Most connections to one of its upstreams, from all daemons together.
     pub connections_limit: u32,
     /// Speed of its engines; none for a plain service.
-    pub engine: Option<EngineFigures>,
+    pub engine: Option<EngineProfile>,
 }
 
 /// Speed and size of the engines of a service.
@@ -21,7 +21,7 @@
 /// An engine works in passes. A pass in which any request writes makes
 /// `steps_per_pass` tokens for each of them and then shows them as one event.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct EngineFigures {
+pub struct EngineProfile {
     /// Requests that run at once.
     pub slots: u32,
     /// Memory for prompts and answers, in tokens.
@@ -35,23 +35,26 @@
     /// Further time of a step for a thousand tokens of context, in milliseconds.
     pub step_per_context_k_ms: f64,
     /// Prompt tokens read in a second, without the pairs.
-    pub read_tokens_per_s: f64,
+    #[serde(rename = "read_tokens_per_s")]
+    pub prefill_tokens_per_s: f64,
     /// Time for a million pairs of a token and an earlier one, in milliseconds.
-    pub read_per_pairs_m_ms: f64,
+    #[serde(rename = "read_per_pairs_m_ms")]
+    pub prefill_per_pairs_m_ms: f64,
     /// Most prompt tokens read in one step.
-    pub read_chunk_tokens: u32,
+    #[serde(rename = "read_chunk_tokens")]
+    pub prefill_chunk_tokens: u32,
     /// Further time of a step when a prompt lies on several engines, in milliseconds.
     pub step_per_spread_prompt_ms: f64,
 }
 
-impl EngineFigures {
+impl EngineProfile {
     /// Time in which one idle engine reads a prompt, in milliseconds.
     #[must_use]
-    pub fn read_ms(&self, prompt_tokens: u64) -> f64 {
+    pub fn prefill_ms(&self, prompt_tokens: u64) -> f64 {
         let tokens = prompt_tokens as f64;
-        let linear_ms = tokens * 1_000.0 / self.read_tokens_per_s.max(1.0);
+        let linear_ms = tokens * 1_000.0 / self.prefill_tokens_per_s.max(1.0);
         let pairs_m = tokens * tokens / 2.0 / 1e6;
-        linear_ms + pairs_m * self.read_per_pairs_m_ms
+        linear_ms + pairs_m * self.prefill_per_pairs_m_ms
     }
 
     /// Time of a pass in which `writers` requests with `context_tokens` write, in milliseconds.
--- a/crates/routes/src/upstream.rs
+++ b/crates/routes/src/upstream.rs
@@ -34,7 +34,7 @@
 impl Upstream {
     /// Whether `other` differs in nothing but when it was registered.
     #[must_use]
-    pub fn says_the_same(&self, other: &Self) -> bool {
+    pub fn eq_except_registered_at(&self, other: &Self) -> bool {
         let other = Self {
             registered_at: self.registered_at,
             ..other.clone()
--- a/crates/standin/src/engine/routes.rs
+++ b/crates/standin/src/engine/routes.rs
@@ -110,7 +110,7 @@
     let head = request_head(engine, request.headers())
         .map_err(|error| Rejection::refused(&error, "submit"))?;
     let body = read_body(engine, request).await?;
-    let prompt = mangofront_prompt::read(endpoint, &body)
+    let prompt = mangofront_prompt::parse(endpoint, &body)
         .map_err(|error| Rejection::malformed("read_body", &error))?;
     let offset = head.resume_offset;
     let reader = engine
--- a/crates/standin/tests/support/mod.rs
+++ b/crates/standin/tests/support/mod.rs
@@ -161,7 +161,7 @@
 
     pub fn digest(&self) -> u64 {
         let body = json!({"model": "m", "prompt": self.prompt}).to_string();
-        mangofront_prompt::read(mangofront_prompt::Endpoint::Completions, body.as_bytes())
+        mangofront_prompt::parse(mangofront_prompt::Endpoint::Completions, body.as_bytes())
             .unwrap()
             .digest
     }
--- a/tests/processes/requests.rs
+++ b/tests/processes/requests.rs
@@ -18,7 +18,7 @@
 
 /// The text that the emulated engine gives to `body`.
 pub fn expected_text(endpoint: Endpoint, body: &Value) -> String {
-    let prompt = mangofront_prompt::read(endpoint, body.to_string().as_bytes());
+    let prompt = mangofront_prompt::parse(endpoint, body.to_string().as_bytes());
     let prompt = prompt.expect("the body is a request");
     answer::text(prompt.digest, prompt.max_tokens)
 }
