--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/sharing.rs
@@ -27,7 +27,7 @@
     Batch, COALESCING_WINDOW, IncarnationId, LatestSequences, Origin, Peer, PendingBatches,
     RELAYS_PER_ZONE, Sequence, Topology,
 };
-use mangofront_engines::{News, Upstreams};
+use mangofront_engines::{LoadUpdate, Upstreams};
 use mangofront_peers::{Member, Peers};
 use mangofront_settings::ids::{AvailabilityZone, Incarnation, InstanceId};
 use thiserror::Error;
@@ -104,7 +104,7 @@
     sequences: RefCell<LatestSequences>,
     paths: RefCell<Option<(Instant, Rc<Topology>)>>,
     /// What this daemon has to pass on.
-    held: RefCell<PendingBatches<News>>,
+    held: RefCell<PendingBatches<LoadUpdate>>,
     /// Whether a task waits to pass on what is held.
     is_passing_on: Cell<bool>,
     /// When a relay of the zone last passed something on to this daemon.
@@ -169,7 +169,7 @@
             _ => {
                 let looked_up = Rc::new(self.look_up_paths());
                 let is_relayed = looked_up.uses_relays(self.relay_from_daemons);
-                self.upstreams.set_news_delay(match is_relayed {
+                self.upstreams.set_update_delay(match is_relayed {
                     true => TELLING_DELAY + COALESCING_WINDOW,
                     false => TELLING_DELAY,
                 });
@@ -260,7 +260,7 @@
     /// Tells a daemon that has just started, or was out of reach, of all that has
     /// not ended.
     async fn introduce(&self, to: SocketAddr) {
-        for part in parts(self.upstreams.introduction()) {
+        for part in parts(self.upstreams.load_snapshot()) {
             self.send(self.datagram(Message::Introduction(part)), to)
                 .await;
         }
@@ -328,10 +328,10 @@
         }
     }
 
-    async fn take_news(&self, life: IncarnationId, news: Vec<News>, from: SocketAddr) {
+    async fn take_news(&self, life: IncarnationId, news: Vec<LoadUpdate>, from: SocketAddr) {
         let mut has_unknown = false;
         for one in news {
-            has_unknown |= self.upstreams.hear(life, one);
+            has_unknown |= self.upstreams.apply_update(life, one);
         }
         if has_unknown {
             self.send(self.datagram(Message::Introduce), from).await;
