--- a/crates/dissemination/examples/embed.rs
+++ b/crates/dissemination/examples/embed.rs
@@ -1,7 +1,7 @@
-//! Relaying news, embedding nothing but this crate.
+//! Uses this crate alone to forward batches as a relay.
 //!
-//! The second relay of a zone holds what it was told, sees the first pass it on, and
-//! has nothing left to do; what the first never passed on, it does itself.
+//! The second relay of a zone keeps two batches pending. The first relay forwards one of
+//! them and fails; the second relay forwards the other.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Instant;
@@ -10,29 +10,29 @@
     Batch, COALESCING_WINDOW, LatestSequences, Origin, PendingBatches, STANDBY_DELAY, Scope,
 };
 
-/// Place among the relays of its zone; the first is 0.
+/// Rank among the relays of the zone; the first is 0.
 const SECOND: usize = 1;
 
 fn main() {
     let now = Instant::now();
     let mut sequences = LatestSequences::default();
-    let mut held = PendingBatches::default();
+    let mut pending = PendingBatches::default();
     for sequence in [1, 2] {
-        let telling = telling(sequence);
-        if sequences.advance(telling.origin.incarnation_id(), sequence) {
-            held.add(telling, Scope::Fleet, SECOND, now);
+        let batch = batch(sequence);
+        if sequences.advance(batch.origin.incarnation_id(), sequence) {
+            pending.add(batch, Scope::Fleet, SECOND, now);
         }
     }
-    // The first relay passes on the first telling, and then fails.
-    held.remove_forwarded([(telling(1).origin.incarnation_id(), 1)]);
-    let due = held.take_due(now + COALESCING_WINDOW + STANDBY_DELAY);
-    for (scope, telling) in &due {
-        println!("passes on telling {} to {scope:?}", telling.sequence);
+    // The first relay forwards the first batch and then fails.
+    pending.remove_forwarded([(batch(1).origin.incarnation_id(), 1)]);
+    let due = pending.take_due(now + COALESCING_WINDOW + STANDBY_DELAY);
+    for (scope, batch) in &due {
+        println!("forwards batch {} to {scope:?}", batch.sequence);
     }
     assert_eq!(due.len(), 1);
 }
 
-fn telling(sequence: u64) -> Batch<&'static str> {
+fn batch(sequence: u64) -> Batch<&'static str> {
     Batch {
         origin: Origin {
             daemon: 7,
--- a/crates/dissemination/src/batch.rs
+++ b/crates/dissemination/src/batch.rs
@@ -1,51 +1,51 @@
-//! What one daemon tells at one moment.
+//! Numbered batches of updates and the daemons that they come from.
 
 use std::net::IpAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Short name of one life of a daemon.
+/// Hash that identifies one incarnation of a daemon.
 pub type IncarnationId = u64;
 
-/// Short name of the life of a daemon; never 0.
+/// Identifier of one incarnation of a daemon; never 0.
 #[must_use]
 pub fn incarnation_id(daemon: u64, incarnation: u64) -> IncarnationId {
     (daemon ^ incarnation) | 1
 }
 
-/// Number of a telling within its teller's life; it grows.
+/// Number of a batch, increasing within one incarnation of its origin.
 pub type Sequence = u64;
 
-/// Who tells.
+/// The daemon that a batch comes from.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
-    /// Short name of the daemon.
+    /// Hash that identifies the daemon.
     pub daemon: u64,
-    /// Its life; a later one is higher.
+    /// Its incarnation; a later one is higher.
     pub incarnation: u64,
-    /// Where it listens; the port is the same for all.
+    /// Address that it listens on; all daemons use the same port.
     pub address: IpAddr,
     /// Its availability zone.
     pub zone: String,
 }
 
 impl Origin {
-    /// Short name of this life.
+    /// Identifier of this incarnation.
     #[must_use]
     pub fn incarnation_id(&self) -> IncarnationId {
         incarnation_id(self.daemon, self.incarnation)
     }
 }
 
-/// News of one daemon with what is needed to relay them.
+/// Updates of one daemon with what relays need to forward them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch<T> {
-    /// Who tells.
+    /// The daemon that sent the updates first.
     #[serde(rename = "teller")]
     pub origin: Origin,
-    /// Its place among the teller's.
+    /// Number of the batch among those of its origin.
     pub sequence: Sequence,
-    /// What is told.
+    /// The updates.
     #[serde(rename = "news")]
     pub updates: Vec<T>,
 }
--- a/crates/dissemination/src/lib.rs
+++ b/crates/dissemination/src/lib.rs
@@ -1,17 +1,17 @@
-//! By whom the news of each daemon reaches all others.
+//! Broadcast of load updates between daemons, directly or through relays.
 //!
-//! In a small fleet each daemon tells every other by itself. That makes as many
-//! datagrams as the fleet has requests, at each of its daemons. In a large one a few
-//! daemons of each availability zone relay: they collect what they hear for a moment
-//! and pass it on in one datagram, to the relays of the other zones and to the
-//! daemons of their own.
+//! In a small fleet each daemon sends its updates to every other one. Each daemon then
+//! receives as many datagrams as the whole fleet has updates. In a large fleet a few
+//! daemons of each availability zone act as relays: they collect the batches that they
+//! receive for a short time and forward them in one datagram, to the relays of the
+//! other zones and to the daemons of their own zone.
 //!
-//! The relays of a zone are ranked. The first passes on after [`COALESCING_WINDOW`]. The others
-//! hold the same news for longer, and drop what they see passed on; so they take over
-//! from one that is gone without anybody having to notice.
+//! The relays of a zone are ranked. The first one forwards after [`COALESCING_WINDOW`].
+//! The others keep the same batches for longer and drop those that they see forwarded.
+//! So they take over from a failed relay without any failure detection.
 //!
-//! Nothing in here does input or output. [`LatestSequences`] tells what is new, [`Topology`]
-//! whom to tell, [`PendingBatches`] what to pass on and when.
+//! This crate does no input or output. [`LatestSequences`] tells which batches are new,
+//! [`Topology`] where to send them, [`PendingBatches`] which to forward and when.
 
 mod batch;
 mod pending;
--- a/crates/dissemination/src/pending.rs
+++ b/crates/dissemination/src/pending.rs
@@ -1,4 +1,4 @@
-//! What a relay holds until it passes it on.
+//! Batches that a relay has yet to forward.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -7,36 +7,36 @@
 
 use crate::batch::{Batch, IncarnationId, Sequence};
 
-/// Time for which the first relay of a zone collects news.
+/// Time for which the first relay of a zone collects batches before it forwards them.
 ///
-/// It bounds the datagrams that a daemon hears to fifty a second, whatever the
-/// fleet's load, and is short against the tens of milliseconds that an engine takes
-/// to read a prompt: what is placed meanwhile is rarely at the same engine.
+/// It limits the datagrams that a daemon receives to 50 a second, whatever the fleet's
+/// load. It is short compared to the tens of milliseconds that an engine takes for a
+/// prefill, so that two daemons rarely choose the same engine within one window.
 pub const COALESCING_WINDOW: Duration = Duration::from_millis(20);
 
-/// Time by which each further relay waits longer than the one before it.
+/// Time by which each further relay waits longer than the one ranked before it.
 ///
-/// Above the delay with which a busy first relay still passes on, so that news goes
-/// out twice only when that one is in trouble.
+/// Longer than a busy first relay takes to forward, so that batches are forwarded twice
+/// only when the first relay is overloaded or down.
 pub const STANDBY_DELAY: Duration = Duration::from_millis(60);
 
-/// Whom a telling is still to be passed on to.
+/// The daemons that a relay has to forward a batch to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Scope {
-    /// The daemons of the relay's zone and the relays of the others.
+    /// The daemons of the relay's own zone and the relays of all other zones.
     Fleet,
-    /// The daemons of the relay's zone.
+    /// The daemons of the relay's own zone.
     Zone,
 }
 
 #[derive(Debug)]
 struct Entry<T> {
-    telling: Batch<T>,
+    batch: Batch<T>,
     scope: Scope,
     due: Instant,
 }
 
-/// Tellings that a relay has not passed on yet.
+/// Batches that a relay has not forwarded yet.
 #[derive(Debug)]
 pub struct PendingBatches<T> {
     entries: Vec<Entry<T>>,
@@ -51,42 +51,38 @@
 }
 
 impl<T> PendingBatches<T> {
-    /// Holds a telling as the relay of `rank`, the first being 0.
-    pub fn add(&mut self, telling: Batch<T>, scope: Scope, rank: usize, now: Instant) {
+    /// Adds a batch, to be forwarded by the relay of `rank`; the first rank is 0.
+    pub fn add(&mut self, batch: Batch<T>, scope: Scope, rank: usize, now: Instant) {
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
         let due = now + COALESCING_WINDOW + STANDBY_DELAY.saturating_mul(rank);
-        self.entries.push(Entry {
-            telling,
-            scope,
-            due,
-        });
+        self.entries.push(Entry { batch, scope, due });
     }
 
-    /// Drops what another relay of the zone has passed on.
+    /// Removes the batches that another relay of the zone has forwarded.
     pub fn remove_forwarded(
         &mut self,
-        by_another: impl IntoIterator<Item = (IncarnationId, Sequence)>,
+        forwarded: impl IntoIterator<Item = (IncarnationId, Sequence)>,
     ) {
         if self.entries.is_empty() {
             return;
         }
-        let known: HashSet<(IncarnationId, Sequence)> = by_another.into_iter().collect();
+        let forwarded: HashSet<(IncarnationId, Sequence)> = forwarded.into_iter().collect();
         self.entries.retain(|entry| {
-            let telling = &entry.telling;
-            !known.contains(&(telling.origin.incarnation_id(), telling.sequence))
+            let batch = &entry.batch;
+            !forwarded.contains(&(batch.origin.incarnation_id(), batch.sequence))
         });
     }
 
-    /// When the first of them is due.
+    /// When the next batch is due.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         self.entries.iter().map(|entry| entry.due).min()
     }
 
-    /// Takes out what is due, in the order in which it came.
+    /// Removes and returns the batches that are due, in the order in which they were added.
     ///
-    /// One that is due takes those along that came after it, as long as they wait for
-    /// the same time: they need no datagram of their own then.
+    /// Once one is due, those that become due within the next [`COALESCING_WINDOW`] are
+    /// returned with it, as they then need no datagram of their own.
     pub fn take_due(&mut self, now: Instant) -> Vec<(Scope, Batch<T>)> {
         if self.next_due().is_none_or(|due| due > now) {
             return Vec::new();
@@ -97,7 +93,7 @@
             .partition(|entry| entry.due <= until);
         self.entries = waiting;
         due.into_iter()
-            .map(|entry| (entry.scope, entry.telling))
+            .map(|entry| (entry.scope, entry.batch))
             .collect()
     }
 }
--- a/crates/dissemination/src/sequences.rs
+++ b/crates/dissemination/src/sequences.rs
@@ -1,28 +1,28 @@
-//! Which tellings have been heard.
+//! Detection of batches that are duplicates or arrive out of order.
 
 use std::collections::HashMap;
 
 use crate::batch::{IncarnationId, Sequence};
 
-/// The latest telling of each daemon.
+/// The latest sequence number received from each incarnation of a daemon.
 ///
-/// One that comes after a later one is dropped: what it says may be outdated, an end
-/// overtaken by its beginning. What is lost by that, as by any lost datagram, is put
-/// right by the teller's next list of all that it does.
+/// A batch that arrives after a later one is dropped, as its updates may be outdated:
+/// the start of a request would follow its end. What is lost by that, as by any lost
+/// datagram, is restored by the next full list of unfinished requests of its origin.
 #[derive(Debug, Default)]
 pub struct LatestSequences(HashMap<IncarnationId, Sequence>);
 
 impl LatestSequences {
-    /// Notes a telling; whether it is later than all before it.
-    pub fn advance(&mut self, life: IncarnationId, sequence: Sequence) -> bool {
-        let latest = self.0.entry(life).or_default();
+    /// Records a batch; returns whether it is later than all before it.
+    pub fn advance(&mut self, incarnation: IncarnationId, sequence: Sequence) -> bool {
+        let latest = self.0.entry(incarnation).or_default();
         let is_new = sequence > *latest;
         *latest = sequence.max(*latest);
         is_new
     }
 
-    /// Forgets a life that has ended.
-    pub fn forget(&mut self, life: IncarnationId) {
-        self.0.remove(&life);
+    /// Forgets an incarnation that has ended.
+    pub fn forget(&mut self, incarnation: IncarnationId) {
+        self.0.remove(&incarnation);
     }
 }
--- a/crates/dissemination/tests/fleet.rs
+++ b/crates/dissemination/tests/fleet.rs
@@ -1,9 +1,8 @@
-//! A fleet that tells its news in virtual time.
+//! Simulates in virtual time how a fleet broadcasts its updates.
 //!
-//! The load is that of a large fleet at its peak: each daemon tells five times a
-//! second of a request that it placed, read or ended, and a datagram takes a
-//! millisecond. What matters is how many datagrams each daemon hears, how old the
-//! news is then, and what the loss of relays does.
+//! The load is that of a large fleet at its peak: each daemon sends five updates a
+//! second, and a datagram takes a millisecond. The tests check how many datagrams each
+//! daemon receives, how old the updates are by then, and what happens when relays fail.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -14,31 +13,31 @@
     STANDBY_DELAY, Scope, Topology,
 };
 
-const DELAY: Duration = Duration::from_millis(1);
-const RELAYED_FROM: usize = 100;
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
+const RELAY_THRESHOLD: usize = 100;
 const STEP: Duration = Duration::from_millis(1);
 
 enum Message {
-    PassOn(Scope, Vec<Batch<u32>>),
-    Relayed(Vec<Batch<u32>>),
+    Forward(Scope, Vec<Batch<u32>>),
+    Forwarded(Vec<Batch<u32>>),
 }
 
 struct Daemon {
     zone: String,
-    paths: Topology,
+    topology: Topology,
     sequences: LatestSequences,
-    held: PendingBatches<u32>,
-    next: u64,
-    heard: HashSet<u32>,
+    pending: PendingBatches<u32>,
+    next_sequence: u64,
+    received: HashSet<u32>,
     datagrams: usize,
-    oldest: Duration,
+    max_age: Duration,
     is_down: bool,
 }
 
 struct Fleet {
     daemons: Vec<Daemon>,
     network: Vec<(Instant, usize, Message)>,
-    told_at: Vec<Instant>,
+    sent_at: Vec<Instant>,
     now: Instant,
 }
 
@@ -58,9 +57,9 @@
     fn new(zones: usize, per_zone: usize) -> Self {
         let count = zones * per_zone;
         let zone = |index: usize| format!("zone-{}", index % zones);
-        let relays = |slice: usize| {
+        let relays = |shard: usize| {
             let mut relays: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
-            let first = slice * zones * RELAYS_PER_ZONE;
+            let first = shard * zones * RELAYS_PER_ZONE;
             for index in first..first + zones * RELAYS_PER_ZONE {
                 let index = index % count;
                 relays.entry(zone(index)).or_default().push(address(index));
@@ -68,7 +67,7 @@
             relays
         };
         let daemons = (0..count).map(|own| {
-            let neighbours: Vec<Peer> = (0..count)
+            let peers: Vec<Peer> = (0..count)
                 .filter(|other| *other != own)
                 .map(|other| Peer {
                     address: address(other),
@@ -77,239 +76,243 @@
                 .collect();
             Daemon {
                 zone: zone(own),
-                paths: Topology::new(address(own), &zone(own), &neighbours, relays),
+                topology: Topology::new(address(own), &zone(own), &peers, relays),
                 sequences: LatestSequences::default(),
-                held: PendingBatches::default(),
-                next: 1,
-                heard: HashSet::new(),
+                pending: PendingBatches::default(),
+                next_sequence: 1,
+                received: HashSet::new(),
                 datagrams: 0,
-                oldest: Duration::ZERO,
+                max_age: Duration::ZERO,
                 is_down: false,
             }
         });
         Self {
             daemons: daemons.collect(),
             network: Vec::new(),
-            told_at: Vec::new(),
+            sent_at: Vec::new(),
             now: Instant::now(),
         }
     }
 
     fn send(&mut self, to: SocketAddr, message: Message) {
-        self.network.push((self.now + DELAY, index(to), message));
+        self.network
+            .push((self.now + NETWORK_DELAY, index(to), message));
     }
 
-    /// Has one daemon tell something.
-    fn tell(&mut self, own: usize) {
-        let piece = self.told_at.len() as u32;
-        self.told_at.push(self.now);
+    /// Broadcasts one update of a daemon.
+    fn broadcast(&mut self, own: usize) {
+        let update = self.sent_at.len() as u32;
+        self.sent_at.push(self.now);
         let now = self.now;
         let daemon = &mut self.daemons[own];
-        let telling = Batch {
+        let batch = Batch {
             origin: Origin {
                 daemon: own as u64 * 2 + 2,
                 incarnation: 0,
                 address: address(own).ip(),
                 zone: daemon.zone.clone(),
             },
-            sequence: daemon.next,
-            updates: vec![piece],
+            sequence: daemon.next_sequence,
+            updates: vec![update],
         };
-        daemon.next += 1;
-        daemon.heard.insert(piece);
-        let paths = daemon.paths.clone();
-        if !paths.uses_relays(RELAYED_FROM) {
-            for other in paths.peers {
-                self.send(other, Message::Relayed(vec![telling.clone()]));
+        daemon.next_sequence += 1;
+        daemon.received.insert(update);
+        let topology = daemon.topology.clone();
+        if !topology.uses_relays(RELAY_THRESHOLD) {
+            for other in topology.peers {
+                self.send(other, Message::Forwarded(vec![batch.clone()]));
             }
             return;
         }
-        let slice = paths.shard(paths.shard_of(telling.origin.daemon));
-        let slice = slice.expect("there are other daemons").clone();
-        if let Some(rank) = slice.rank {
-            let life = telling.origin.incarnation_id();
-            daemon.sequences.advance(life, telling.sequence);
-            daemon.held.add(telling.clone(), Scope::Fleet, rank, now);
+        let shard = topology.shard(topology.shard_of(batch.origin.daemon));
+        let shard = shard.expect("there are other daemons").clone();
+        if let Some(rank) = shard.rank {
+            let incarnation = batch.origin.incarnation_id();
+            daemon.sequences.advance(incarnation, batch.sequence);
+            daemon.pending.add(batch.clone(), Scope::Fleet, rank, now);
         }
-        for relay in slice.relays {
-            self.send(relay, Message::PassOn(Scope::Fleet, vec![telling.clone()]));
+        for relay in shard.relays {
+            self.send(relay, Message::Forward(Scope::Fleet, vec![batch.clone()]));
         }
     }
 
-    fn take(&mut self, own: usize, message: Message) {
+    fn receive(&mut self, own: usize, message: Message) {
         let now = self.now;
         let daemon = &mut self.daemons[own];
         if daemon.is_down {
             return;
         }
         daemon.datagrams += 1;
-        let (scope, tellings) = match message {
-            Message::PassOn(scope, tellings) => (Some(scope), tellings),
-            Message::Relayed(tellings) => {
-                let known = tellings
+        let (scope, batches) = match message {
+            Message::Forward(scope, batches) => (Some(scope), batches),
+            Message::Forwarded(batches) => {
+                let known = batches
                     .iter()
                     .map(|one| (one.origin.incarnation_id(), one.sequence));
-                daemon.held.remove_forwarded(known);
-                (None, tellings)
+                daemon.pending.remove_forwarded(known);
+                (None, batches)
             }
         };
-        for telling in tellings {
+        for batch in batches {
             if !daemon
                 .sequences
-                .advance(telling.origin.incarnation_id(), telling.sequence)
+                .advance(batch.origin.incarnation_id(), batch.sequence)
             {
                 continue;
             }
-            for piece in &telling.updates {
-                daemon.heard.insert(*piece);
-                let age = now - self.told_at[*piece as usize];
-                daemon.oldest = daemon.oldest.max(age);
+            for update in &batch.updates {
+                daemon.received.insert(*update);
+                let age = now - self.sent_at[*update as usize];
+                daemon.max_age = daemon.max_age.max(age);
             }
             if let Some(scope) = scope {
-                let rank = daemon.paths.rank_or_last(telling.origin.daemon);
-                daemon.held.add(telling, scope, rank, now);
+                let rank = daemon.topology.rank_or_last(batch.origin.daemon);
+                daemon.pending.add(batch, scope, rank, now);
             }
         }
     }
 
-    fn pass_on(&mut self, own: usize) {
+    fn forward_due(&mut self, own: usize) {
         let daemon = &mut self.daemons[own];
         if daemon.is_down {
             return;
         }
-        let due = daemon.held.take_due(self.now);
+        let due = daemon.pending.take_due(self.now);
         if due.is_empty() {
             return;
         }
-        let paths = daemon.paths.clone();
-        let mut far: BTreeMap<usize, Vec<Batch<u32>>> = BTreeMap::new();
-        for (scope, telling) in &due {
+        let topology = daemon.topology.clone();
+        let mut remote: BTreeMap<usize, Vec<Batch<u32>>> = BTreeMap::new();
+        for (scope, batch) in &due {
             if *scope == Scope::Fleet {
-                let slice = paths.shard_of(telling.origin.daemon);
-                far.entry(slice).or_default().push(telling.clone());
+                let shard = topology.shard_of(batch.origin.daemon);
+                remote.entry(shard).or_default().push(batch.clone());
             }
         }
-        let all: Vec<Batch<u32>> = due.into_iter().map(|(_, telling)| telling).collect();
-        for to in paths.zone_peers.clone() {
-            self.send(to, Message::Relayed(all.clone()));
+        let all: Vec<Batch<u32>> = due.into_iter().map(|(_, batch)| batch).collect();
+        for to in topology.zone_peers.clone() {
+            self.send(to, Message::Forwarded(all.clone()));
         }
-        for (slice, far) in far {
-            let slice = paths.shard(slice).expect("a slice of these paths").clone();
-            for to in slice.remote_relays {
-                self.send(to, Message::PassOn(Scope::Zone, far.clone()));
+        for (shard, remote) in remote {
+            let shard = topology
+                .shard(shard)
+                .expect("a shard of the topology")
+                .clone();
+            for to in shard.remote_relays {
+                self.send(to, Message::Forward(Scope::Zone, remote.clone()));
             }
         }
     }
 
-    /// Runs for `time`; each daemon that is up tells five times a second.
+    /// Runs for `time`; each daemon that is up sends five updates a second.
     fn run(&mut self, time: Duration) {
         let end = self.now + time;
         let count = self.daemons.len();
-        let mut turn = 0;
+        let mut step = 0;
         while self.now < end {
             let arrived: Vec<_> = {
                 let now = self.now;
                 let network = std::mem::take(&mut self.network);
-                let (arrived, under_way) = network.into_iter().partition(|one| one.0 <= now);
-                self.network = under_way;
+                let (arrived, in_flight) = network.into_iter().partition(|one| one.0 <= now);
+                self.network = in_flight;
                 arrived
             };
             for (_, to, message) in arrived {
-                self.take(to, message);
+                self.receive(to, message);
             }
-            // Five times a second each is one of 200 in each millisecond.
-            let tellers: Vec<usize> = (0..count).filter(|one| one % 200 == turn % 200).collect();
-            for teller in tellers {
-                if !self.daemons[teller].is_down {
-                    self.tell(teller);
+            // At five updates a second each, one daemon in 200 sends in each millisecond.
+            let senders: Vec<usize> = (0..count).filter(|one| one % 200 == step % 200).collect();
+            for sender in senders {
+                if !self.daemons[sender].is_down {
+                    self.broadcast(sender);
                 }
             }
-            (0..count).for_each(|own| self.pass_on(own));
-            turn += 1;
+            (0..count).for_each(|own| self.forward_due(own));
+            step += 1;
             self.now += STEP;
         }
     }
 
-    fn most_datagrams(&self) -> usize {
+    fn max_datagrams(&self) -> usize {
         let datagrams = self.daemons.iter().map(|daemon| daemon.datagrams);
         datagrams.max().unwrap_or_default()
     }
 
-    fn oldest(&self) -> Duration {
-        let oldest = self.daemons.iter().map(|daemon| daemon.oldest);
-        oldest.max().unwrap_or_default()
+    fn max_age(&self) -> Duration {
+        let max_age = self.daemons.iter().map(|daemon| daemon.max_age);
+        max_age.max().unwrap_or_default()
     }
 
-    /// Pieces of news told so far that each daemon that is up has heard of, at least.
-    fn least_heard(&self) -> usize {
+    /// Fewest updates that any daemon that is up has received.
+    fn min_received(&self) -> usize {
         let up = self.daemons.iter().filter(|daemon| !daemon.is_down);
-        up.map(|daemon| daemon.heard.len())
+        up.map(|daemon| daemon.received.len())
             .min()
             .unwrap_or_default()
     }
 }
 
 #[test]
-fn a_small_fleet_tells_at_once() {
+fn a_small_fleet_sends_directly_without_delay() {
     let mut fleet = Fleet::new(3, 2);
     fleet.run(Duration::from_secs(2));
-    assert_eq!(fleet.oldest(), DELAY);
+    assert_eq!(fleet.max_age(), NETWORK_DELAY);
 }
 
 #[test]
-fn a_large_fleet_hears_everything_in_few_datagrams() {
-    // Slices: three of 195 daemons, sixteen of 1,008.
-    for (zones, per_zone, slices) in [(5, 39, 3), (24, 42, 16)] {
+fn a_large_fleet_receives_all_updates_in_few_datagrams() {
+    // 195 daemons make 3 shards, 1,008 make 16.
+    for (zones, per_zone, shards) in [(5, 39, 3), (24, 42, 16)] {
         let mut fleet = Fleet::new(zones, per_zone);
         fleet.run(Duration::from_secs(1));
-        let told = fleet.told_at.len();
+        let sent = fleet.sent_at.len();
         fleet.run(Duration::ZERO);
-        let tellings = zones * per_zone * 5;
-        assert!(told + 20 > tellings, "{told} of {tellings}");
-        // All but the last moments', which are under way.
-        let under_way = tellings / 10;
-        assert!(fleet.least_heard() + under_way > told);
-        // A relay hears of each zone in each window, and of its own daemons besides;
-        // everyone telling everyone would be a datagram for each telling.
+        let batches = zones * per_zone * 5;
+        assert!(sent + 20 > batches, "{sent} of {batches}");
+        // All updates but the latest ones, which are still in flight.
+        let in_flight = batches / 10;
+        assert!(fleet.min_received() + in_flight > sent);
+        // A relay receives a datagram from each zone in each window, and those of its own
+        // daemons. Without relays each daemon would receive one for each batch.
         let windows = 1_000 / COALESCING_WINDOW.as_millis() as usize;
-        let bound = windows * (zones + slices) + per_zone * 5 + windows * 2;
-        let most = fleet.most_datagrams();
-        assert!(most <= bound, "{most} of {bound}");
+        let bound = windows * (zones + shards) + per_zone * 5 + windows * 2;
+        let max = fleet.max_datagrams();
+        assert!(max <= bound, "{max} of {bound}");
         let mut datagrams: Vec<usize> = fleet.daemons.iter().map(|one| one.datagrams).collect();
         datagrams.sort_unstable();
-        let usual = datagrams[datagrams.len() / 2];
-        assert!(usual <= (windows + 2) * slices, "{usual}");
-        let limit = 2 * COALESCING_WINDOW + 4 * DELAY;
-        assert!(fleet.oldest() <= limit, "{:?}", fleet.oldest());
+        let median = datagrams[datagrams.len() / 2];
+        assert!(median <= (windows + 2) * shards, "{median}");
+        let limit = 2 * COALESCING_WINDOW + 4 * NETWORK_DELAY;
+        assert!(fleet.max_age() <= limit, "{:?}", fleet.max_age());
     }
 }
 
 #[test]
-fn the_next_relay_takes_over_from_one_that_is_gone() {
+fn the_next_relay_takes_over_from_a_failed_one() {
     let mut fleet = Fleet::new(5, 39);
     fleet.run(Duration::from_millis(500));
-    // The first relay of two zones, and both the first and the second of another.
-    for gone in [0, 1, 2, 7] {
-        fleet.daemons[gone].is_down = true;
+    // The first relay of two zones, and the first and the second relay of another.
+    for failed in [0, 1, 2, 7] {
+        fleet.daemons[failed].is_down = true;
     }
-    let before = fleet.told_at.len();
+    let before = fleet.sent_at.len();
     fleet.run(Duration::from_secs(1));
-    let told = fleet.told_at.len();
+    let sent = fleet.sent_at.len();
     fleet.run(2 * (COALESCING_WINDOW + 2 * STANDBY_DELAY));
-    let later = fleet.told_at.len();
-    // Those under way when the relays went may be lost.
-    let lost = told.min(later) - told;
+    let later = fleet.sent_at.len();
+    // Updates in flight when the relays failed may be lost.
+    let lost = sent.min(later) - sent;
     assert_eq!(lost, 0);
     for daemon in fleet.daemons.iter().filter(|daemon| !daemon.is_down) {
-        let missing = (before..told).filter(|piece| !daemon.heard.contains(&(*piece as u32)));
+        let missing = (before..sent).filter(|update| !daemon.received.contains(&(*update as u32)));
         assert_eq!(missing.count(), 0);
     }
-    let limit = 2 * (COALESCING_WINDOW + 2 * STANDBY_DELAY) + 4 * DELAY;
-    assert!(fleet.oldest() <= limit, "{:?}", fleet.oldest());
+    let limit = 2 * (COALESCING_WINDOW + 2 * STANDBY_DELAY) + 4 * NETWORK_DELAY;
+    assert!(fleet.max_age() <= limit, "{:?}", fleet.max_age());
 }
 
 #[test]
-fn a_telling_after_a_later_one_is_dropped() {
+fn a_batch_that_arrives_after_a_later_one_is_dropped() {
     let mut sequences = LatestSequences::default();
     assert!(sequences.advance(7, 1));
     assert!(sequences.advance(7, 3));
