--- a/crates/peers/examples/embed.rs
+++ b/crates/peers/examples/embed.rs
@@ -1,5 +1,5 @@
-//! Smallest use of the membership without the daemon: two members in one
-//! process find each other, one tells the other a value and answers its call.
+//! Minimal use of the membership without the daemon: two members in one process
+//! find each other; one publishes a value and calls the other, which answers.
 
 use std::error::Error;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 
 const PERIOD: Duration = Duration::from_millis(50);
 
-/// Longest time for the members to find each other.
+/// Time limit for the members to find each other.
 const LIMIT: Duration = Duration::from_secs(10);
 
 fn member(instance: &str) -> Result<Peers, Box<dyn Error>> {
@@ -27,7 +27,7 @@
 #[compio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
     let (first, second) = (member("entry-1")?, member("entry-2")?);
-    // One side alone is listed: the other learns of it by being called.
+    // Only the second member is listed: it learns of the first from its heartbeat.
     first.set_listed(&[ListedPeer {
         instance: "entry-2".to_owned(),
         region: "region-1".to_owned(),
@@ -37,8 +37,8 @@
     }]);
     let mut values = second.subscribe(Topic::Load);
     first.publish(Topic::Load, Bytes::from_static(b"three streams"))?;
-    let heard = compio::time::timeout(LIMIT, values.next()).await?;
-    println!("heard: {heard:?}");
+    let received = compio::time::timeout(LIMIT, values.next()).await?;
+    println!("received: {received:?}");
     let request = Bytes::from_static(b"are you there?");
     let peer = "entry-2".to_owned();
     let answer = first.call(&peer, Service::Once, request, LIMIT).await?;
--- a/crates/peers/examples/measure.rs
+++ b/crates/peers/examples/measure.rs
@@ -1,10 +1,10 @@
 //! Measures control traffic, processor time and memory of a fleet on loopback.
 //!
 //! `measure SECONDS ZONES REGIONS SIZE…` starts SIZE processes of the `member`
-//! example beside it, spread over ZONES availability zones in each of REGIONS
-//! regions, lets them settle, and prints one line of JSON for each size:
-//! averages of one daemon over the time measured. Bytes are those of the
-//! messages with nng's framing, without TCP's headers.
+//! example from the same folder, spread over ZONES availability zones in each of
+//! REGIONS regions, waits until they know each other, and prints one line of JSON for
+//! each size: averages per daemon over SECONDS. Bytes are those of the messages
+//! including nng's framing but not TCP's headers.
 
 use std::error::Error;
 use std::io::{BufRead, BufReader};
@@ -13,19 +13,20 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// Time for everyone to meet.
+/// Time for all members to know each other.
 const SETTLE_TIME: Duration = Duration::from_secs(20);
 
-/// Ticks of processor time in a second, as Linux reports them.
+/// Ticks of processor time per second in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
 
 /// Heartbeat period, in milliseconds.
 const PERIOD_MS: &str = "1000";
 
-/// Words of a traffic line that are counts: sent messages and bytes, received ones, missed, resyncs.
+/// Positions of the counters in a traffic line: messages and bytes sent, messages and bytes
+/// received, missed heartbeats, resyncs.
 const COUNT_WORDS: [usize; 6] = [2, 3, 5, 6, 8, 12];
 
-/// Word of a traffic line that tells how many are alive.
+/// Position of the number of members alive in a traffic line.
 const ALIVE_WORD: usize = 10;
 
 struct Process {
@@ -33,8 +34,8 @@
     lines: Receiver<(Instant, String)>,
 }
 
-/// One look at a process.
-struct Look {
+/// Measurements of one process at one moment.
+struct Sample {
     at: Instant,
     counts: [f64; 6],
     alive: usize,
@@ -68,9 +69,9 @@
 ) -> Result<(), Box<dyn Error>> {
     let processes = start(size, zones, regions)?;
     std::thread::sleep(SETTLE_TIME);
-    let before = look(&processes)?;
+    let before = sample_all(&processes)?;
     std::thread::sleep(time);
-    let after = look(&processes)?;
+    let after = sample_all(&processes)?;
     let pairs = || before.iter().zip(&after);
     let rate = |index: usize| {
         let rates =
@@ -85,7 +86,7 @@
             bytes / (a.at - b.at).as_secs_f64()
         })
         .fold(0.0, f64::max);
-    let least_alive = after.iter().map(|look| look.alive).min().unwrap_or(0);
+    let least_alive = after.iter().map(|sample| sample.alive).min().unwrap_or(0);
     println!(
         "{{\"members\": {size}, \"zones\": {}, \"regions\": {regions}, \"seconds\": {}, \
          \"messages_sent_per_s\": {:.2}, \"bytes_sent_per_s\": {:.0}, \
@@ -106,11 +107,11 @@
 }
 
 fn start(size: usize, zones: usize, regions: usize) -> Result<Vec<Process>, Box<dyn Error>> {
-    let held: Result<Vec<_>, _> = (0..size)
+    let listeners: Result<Vec<_>, _> = (0..size)
         .map(|_| TcpListener::bind("127.0.0.1:0"))
         .collect();
     let mut peers = Vec::new();
-    for (index, listener) in held?.iter().enumerate() {
+    for (index, listener) in listeners?.iter().enumerate() {
         let region = index % regions;
         let zone = index / regions % zones;
         let address = listener.local_addr()?;
@@ -141,12 +142,12 @@
     Ok(Process { child, lines })
 }
 
-fn look(processes: &[Process]) -> Result<Vec<Look>, Box<dyn Error>> {
-    processes.iter().map(look_at).collect()
+fn sample_all(processes: &[Process]) -> Result<Vec<Sample>, Box<dyn Error>> {
+    processes.iter().map(sample).collect()
 }
 
-/// Reads the latest traffic line and the processor time.
-fn look_at(process: &Process) -> Result<Look, Box<dyn Error>> {
+/// Reads the latest traffic line and the processor time of a process.
+fn sample(process: &Process) -> Result<Sample, Box<dyn Error>> {
     let traffic = process
         .lines
         .try_iter()
@@ -166,7 +167,7 @@
             .and_then(|ticks| ticks.parse::<f64>().ok())
     };
     let cpu_ticks = ticks(13).ok_or("no user time")? + ticks(14).ok_or("no system time")?;
-    Ok(Look {
+    Ok(Sample {
         at,
         counts,
         alive,
--- a/crates/peers/examples/member.rs
+++ b/crates/peers/examples/member.rs
@@ -1,8 +1,8 @@
-//! One member of a fleet, embedding nothing but this crate.
+//! One member of a fleet; uses this crate alone.
 //!
 //! `member INSTANCE REGION ZONE LISTEN PERIOD_MS [INSTANCE,REGION,ZONE,ADDRESS]…`
-//! prints a line for each change it sees, for each pause of its own, and its
-//! traffic every two seconds. SIGTERM makes it announce its leave and end.
+//! prints a line for each change in its view and for each pause of its process, and its
+//! traffic every two seconds. On SIGTERM it announces that it leaves, and exits.
 
 use std::error::Error;
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 /// Number of SIGTERM.
 const SIGTERM: i32 = 15;
 
-/// Time between two reports of traffic.
+/// Interval between reports of traffic.
 const REPORT_PERIOD: Duration = Duration::from_secs(2);
 
-/// Time between two looks at the own freshness.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+/// Interval at which pauses and the freshness of the view are checked.
+const CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// Time for the leave to spread.
-const LEAVE_TIME: Duration = Duration::from_millis(500);
+/// Time for the announcement to reach the others.
+const LEAVE_DELAY: Duration = Duration::from_millis(500);
 
 #[compio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
@@ -37,7 +37,7 @@
         Rc::new(|_, _, payload| async move { payload }.boxed_local());
     let peers = Peers::start(options, Rc::new(print_change), echo)?;
     println!("address {}", peers.address());
-    let listed: Vec<ListedPeer> = listed.iter().filter_map(|peer| read_peer(peer)).collect();
+    let listed: Vec<ListedPeer> = listed.iter().filter_map(|peer| parse_peer(peer)).collect();
     peers.set_listed(&listed);
     let stop = Box::pin(compio::signal::unix::signal(SIGTERM));
     let report = Box::pin(report(&peers));
@@ -46,11 +46,11 @@
         Either::Right(((), _)) => {}
     }
     peers.leave();
-    compio::time::sleep(LEAVE_TIME).await;
+    compio::time::sleep(LEAVE_DELAY).await;
     Ok(())
 }
 
-fn read_peer(peer: &str) -> Option<ListedPeer> {
+fn parse_peer(peer: &str) -> Option<ListedPeer> {
     let mut parts = peer.split(',');
     Some(ListedPeer {
         instance: parts.next()?.to_owned(),
@@ -71,12 +71,12 @@
 
 async fn report(peers: &Peers) {
     let mut fresh = false;
-    let mut woke = 0;
+    let mut pauses = 0;
     let mut reported = Instant::now();
     loop {
-        if peers.woke() != woke {
-            woke = peers.woke();
-            println!("woke {woke}");
+        if peers.pause_count() != pauses {
+            pauses = peers.pause_count();
+            println!("woke {pauses}");
         }
         if peers.view_fresh() != fresh {
             fresh = !fresh;
@@ -101,6 +101,6 @@
                 counters.resyncs,
             );
         }
-        compio::time::sleep(LOOK_PERIOD).await;
+        compio::time::sleep(CHECK_PERIOD).await;
     }
 }
--- a/crates/peers/src/call.rs
+++ b/crates/peers/src/call.rs
@@ -1,8 +1,8 @@
-//! Requests to one other daemon.
+//! Calls: requests to one other daemon.
 //!
-//! A request is sent at most once: nng resends nothing, and a reply after the
-//! time-out is dropped. [`CallError::may_have_run`] tells whether the other
-//! side can have taken the request up.
+//! A request is sent at most once: nng doesn't resend it, and a reply after the timeout
+//! is dropped. [`CallError::may_have_run`] tells whether the other side may have started
+//! to handle the request.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,18 +18,18 @@
 use crate::member::MemberState;
 use crate::state::Shared;
 use crate::transport::{Connection, Server};
-use crate::wire::{self, CallHead, Refusal, Reply, Request};
+use crate::wire::{self, CallHeader, Refusal, Reply, Request};
 
-/// Connections kept for calls; the least recently used goes first.
+/// Connections kept for calls; beyond that the least recently used one is closed.
 const CONNECTION_LIMIT: usize = 64;
 
-/// Time after which an unused connection goes.
-const IDLE_LIMIT: Duration = Duration::from_secs(60);
+/// Time after which an unused connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Which part of a daemon answers a call.
+/// The part of a daemon that answers a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Service {
-    /// Orders that may not repeat.
+    /// Orders that must not run twice.
     Once,
     /// Relay of the configuration.
     Platform,
@@ -37,69 +37,69 @@
     Placement,
 }
 
-/// Call that brought no answer.
+/// A call that brought no answer.
 #[derive(Debug, Error)]
 pub enum CallError {
     /// No address is known for the instance.
     #[error("call to {peer}: no address is known")]
     UnknownPeer {
-        /// Instance called.
+        /// The instance that was called.
         peer: InstanceId,
     },
     /// The instance is dead in this daemon's view.
     #[error("call to {peer}: it is dead")]
     Dead {
-        /// Instance called.
+        /// The instance that was called.
         peer: InstanceId,
     },
     /// No connection could be opened.
     #[error("call to {peer}: no connection: {cause}")]
     Open {
-        /// Instance called.
+        /// The instance that was called.
         peer: InstanceId,
-        /// What the library said.
+        /// Error of the nng library.
         cause: nng::Error,
     },
-    /// It did not reach a connection in time.
+    /// The request was not sent within the timeout.
     #[error("call to {peer}: not sent: {cause}")]
     NotSent {
-        /// Instance called.
+        /// The instance that was called.
         peer: InstanceId,
-        /// What the library said.
+        /// Error of the nng library.
         cause: nng::Error,
     },
-    /// The other side has too many calls running, or is another instance by now.
+    /// The other side runs too many calls, or another instance has the address by now.
     #[error("call to {peer}: refused")]
     Refused {
-        /// Instance called.
+        /// The instance that was called.
         peer: InstanceId,
-        /// Whether it is only busy.
+        /// Whether the other side runs too many calls.
         busy: bool,
     },
-    /// No reply came in time.
+    /// No reply arrived within the timeout.
     #[error("call to {peer}: no reply in time")]
     Timeout {
-        /// Instance called.
+        /// The instance that was called.
         peer: InstanceId,
     },
     /// The connection broke before the reply.
     #[error("call to {peer}: connection broke: {cause}")]
     Broken {
-        /// Instance called.
+        /// The instance that was called.
         peer: InstanceId,
-        /// What the library said.
+        /// Error of the nng library.
         cause: nng::Error,
     },
-    /// The reply could not be read.
+    /// The reply could not be decoded.
     #[error("call to {peer}: malformed reply")]
     Malformed {
-        /// Instance called.
+        /// The instance that was called.
         peer: InstanceId,
     },
 }
 
 impl CallError {
-    /// Whether the other side can have taken the request up.
+    /// Whether the other side may have started to handle the request.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         match self {
@@ -124,39 +124,43 @@
     }
 }
 
-/// Connections that calls share.
+/// Connections shared by all calls.
 #[derive(Debug, Default)]
-pub(crate) struct CallLinks(BTreeMap<InstanceId, CallLink>);
+pub(crate) struct CallConnections(BTreeMap<InstanceId, CallConnection>);
 
 #[derive(Debug)]
-struct CallLink {
+struct CallConnection {
     address: SocketAddr,
     connection: Rc<Connection>,
-    used: Instant,
+    last_used: Instant,
 }
 
-impl CallLinks {
-    /// The connection to a peer's present address, opened when there is none.
+impl CallConnections {
+    /// The connection to a peer's present address; opened if there is none.
     fn get(
         &mut self,
         server: &Server,
         peer: &InstanceId,
         address: SocketAddr,
     ) -> nng::Result<Rc<Connection>> {
-        let used = Instant::now();
-        if let Some(link) = self.0.get_mut(peer).filter(|link| link.address == address) {
-            link.used = used;
-            return Ok(Rc::clone(&link.connection));
+        let last_used = Instant::now();
+        if let Some(entry) = self
+            .0
+            .get_mut(peer)
+            .filter(|entry| entry.address == address)
+        {
+            entry.last_used = last_used;
+            return Ok(Rc::clone(&entry.connection));
         }
         let connection = Rc::new(server.dial(address)?);
-        let link = CallLink {
+        let entry = CallConnection {
             address,
             connection: Rc::clone(&connection),
-            used,
+            last_used,
         };
-        self.0.insert(peer.clone(), link);
+        self.0.insert(peer.clone(), entry);
         while self.0.len() > CONNECTION_LIMIT {
-            let oldest = self.0.iter().min_by_key(|(_, link)| link.used);
+            let oldest = self.0.iter().min_by_key(|(_, entry)| entry.last_used);
             let Some(oldest) = oldest.map(|(peer, _)| peer.clone()) else {
                 break;
             };
@@ -165,21 +169,21 @@
         Ok(connection)
     }
 
-    /// Lets a connection go after a failure, so that the next call dials anew.
+    /// Drops a connection after a failure, so that the next call opens a new one.
     fn discard(&mut self, peer: &InstanceId, connection: &Rc<Connection>) {
         if self
             .0
             .get(peer)
-            .is_some_and(|link| Rc::ptr_eq(&link.connection, connection))
+            .is_some_and(|entry| Rc::ptr_eq(&entry.connection, connection))
         {
             self.0.remove(peer);
         }
     }
 
-    /// Lets unused connections go.
+    /// Closes the connections that were not used for [`IDLE_TIMEOUT`].
     pub(crate) fn close_idle(&mut self, now: Instant) {
         self.0
-            .retain(|_, link| now.saturating_duration_since(link.used) < IDLE_LIMIT);
+            .retain(|_, entry| now.saturating_duration_since(entry.last_used) < IDLE_TIMEOUT);
     }
 }
 
@@ -193,19 +197,19 @@
 ) -> Result<Bytes, CallError> {
     let address = address_of(shared, peer)?;
     let opened = shared
-        .call_links
+        .call_connections
         .borrow_mut()
         .get(&shared.server, peer, address);
     let connection = opened.map_err(|cause| CallError::Open {
         peer: peer.clone(),
         cause,
     })?;
-    let head = Request::Call(CallHead {
+    let header = Request::Call(CallHeader {
         from: shared.options.instance.clone(),
         to: peer.clone(),
         service,
     });
-    let request = wire::encode(&head, &payload).ok_or_else(|| CallError::NotSent {
+    let request = wire::encode(&header, &payload).ok_or_else(|| CallError::NotSent {
         peer: peer.clone(),
         cause: nng::Error::MessageTooLarge,
     })?;
@@ -215,7 +219,10 @@
     let message = match connection.request(&request, timeout).await {
         Ok(message) => message,
         Err(error) => {
-            shared.call_links.borrow_mut().discard(peer, &connection);
+            shared
+                .call_connections
+                .borrow_mut()
+                .discard(peer, &connection);
             return Err(CallError::from_link(peer, &error));
         }
     };
@@ -235,7 +242,7 @@
     }
 }
 
-/// Where a peer that isn't dead listens.
+/// Address of a peer that isn't dead.
 fn address_of(shared: &Shared, peer: &InstanceId) -> Result<SocketAddr, CallError> {
     let state = shared.state.borrow();
     let member = state
--- a/crates/peers/src/completion.rs
+++ b/crates/peers/src/completion.rs
@@ -1,17 +1,17 @@
-//! Results of nng's operations, brought to the runtime's thread.
+//! Delivers the results of nng's operations to the runtime's thread.
 //!
-//! nng calls back on threads of its own. A callback here only pushes the result
-//! into one channel for all operations. One task reads it and hands each result
-//! to whoever waits, on the runtime's own thread. Two traps make it so:
+//! nng runs callbacks on its own threads. The callback here only sends the result to one
+//! channel that all operations share. One task receives from it and delivers each result
+//! to its waiter, on the runtime's own thread. There are two reasons for this design:
 //!
-//! - compio holds at most 64 wakes from other threads, and a further one spins
-//!   until the runtime takes them. With a channel for each operation, nng's few
-//!   threads all spun while the runtime waited for one of them to close a
-//!   socket. A channel's reader is woken once until it reads again, so that now
-//!   one wake at a time is open.
-//! - Were the callback's handle to its operation the last one, nng would wait on
-//!   its own thread for the callback that it is running. So the callback drops
-//!   its handle first, and [`Operation`] on drop waits until none runs.
+//! - compio queues at most 64 wakes from other threads; a thread with a further one spins
+//!   until the runtime has processed them. With a channel for each operation, all of
+//!   nng's few threads were spinning while the runtime waited for one of them to close a
+//!   socket. The receiver of a channel is woken only once until it receives again, so
+//!   that with one channel at most one wake is outstanding.
+//! - If the callback held the last handle to its operation, nng would wait on its own
+//!   thread for the callback that it is running. So the callback drops its handle first,
+//!   and [`Operation`] waits on drop until no callback runs.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,38 +27,38 @@
 /// Number of an operation.
 type OperationId = u64;
 
-/// Who waits for which operation; touched on the runtime's thread alone.
-type Waiting = Rc<RefCell<HashMap<OperationId, oneshot::Sender<AioResult>>>>;
+/// The waiter for each operation; accessed on the runtime's thread only.
+type Waiters = Rc<RefCell<HashMap<OperationId, oneshot::Sender<AioResult>>>>;
 
-/// The way from nng's threads to the runtime's.
+/// Channel from nng's threads to the runtime's thread.
 #[derive(Debug)]
 pub(crate) struct Completions {
     sender: UnboundedSender<(OperationId, AioResult)>,
-    waiting: Waiting,
+    waiters: Waiters,
     next: Cell<OperationId>,
 }
 
 impl Completions {
-    /// Starts the task that hands results on; it ends with the last operation.
+    /// Starts the task that delivers the results; it ends with the last operation.
     pub(crate) fn start() -> Rc<Self> {
         let (sender, results) = unbounded();
-        let waiting = Waiting::default();
-        spawn(hand_on(results, Rc::clone(&waiting))).detach();
+        let waiters = Waiters::default();
+        spawn(dispatch(results, Rc::clone(&waiters))).detach();
         Rc::new(Self {
             sender,
-            waiting,
+            waiters,
             next: Cell::new(0),
         })
     }
 
-    /// An idle operation.
+    /// A new operation that isn't running.
     pub(crate) fn operation(self: &Rc<Self>) -> nng::Result<Operation> {
         let id = self.next.get();
         self.next.set(id + 1);
         let sender = self.sender.clone();
         let aio = Aio::new(move |aio, result| {
             drop(aio);
-            // The reader is gone only when the runtime is.
+            // The receiver is dropped only together with the runtime.
             let _ = sender.unbounded_send((id, result));
         })?;
         Ok(Operation {
@@ -69,17 +69,17 @@
     }
 }
 
-async fn hand_on(mut results: UnboundedReceiver<(OperationId, AioResult)>, waiting: Waiting) {
+async fn dispatch(mut results: UnboundedReceiver<(OperationId, AioResult)>, waiters: Waiters) {
     while let Some((id, result)) = results.next().await {
-        let waiter = waiting.borrow_mut().remove(&id);
-        // Without a waiter the operation was given up, and so is its result.
+        let waiter = waiters.borrow_mut().remove(&id);
+        // An operation without a waiter was cancelled, so its result is dropped.
         if let Some(waiter) = waiter {
             let _ = waiter.send(result);
         }
     }
 }
 
-/// One asynchronous operation at a time.
+/// An nng operation; runs one send or receive at a time.
 #[derive(Debug)]
 pub(crate) struct Operation {
     id: OperationId,
@@ -88,14 +88,14 @@
 }
 
 impl Operation {
-    /// Bounds the next operations.
+    /// Sets the timeout of the sends and receives that follow.
     pub(crate) fn set_timeout(&self, timeout: Option<Duration>) -> nng::Result<()> {
         self.aio.set_timeout(timeout)
     }
 
     /// Sends on a context.
     pub(crate) async fn send(&self, context: &Context, message: Message) -> nng::Result<()> {
-        let result = self.expect();
+        let result = self.register();
         context
             .send(&self.aio, message)
             .map_err(|(_, cause)| cause)?;
@@ -108,7 +108,7 @@
 
     /// Receives on a context.
     pub(crate) async fn receive(&self, context: &Context) -> nng::Result<Message> {
-        let result = self.expect();
+        let result = self.register();
         context.recv(&self.aio)?;
         match result.await {
             Ok(AioResult::Recv(result)) => result,
@@ -116,10 +116,10 @@
         }
     }
 
-    fn expect(&self) -> oneshot::Receiver<AioResult> {
+    fn register(&self) -> oneshot::Receiver<AioResult> {
         let (sender, receiver) = oneshot::channel();
         self.completions
-            .waiting
+            .waiters
             .borrow_mut()
             .insert(self.id, sender);
         receiver
@@ -128,7 +128,7 @@
 
 impl Drop for Operation {
     fn drop(&mut self) {
-        self.completions.waiting.borrow_mut().remove(&self.id);
+        self.completions.waiters.borrow_mut().remove(&self.id);
         self.aio.cancel();
         self.aio.wait();
     }
--- a/crates/peers/src/counters.rs
+++ b/crates/peers/src/counters.rs
@@ -1,11 +1,11 @@
-//! Counts of what the links carried, for the control budget.
+//! Counters of the traffic on the links, to check it against the control budget.
 
 use std::cell::Cell;
 
 /// Bytes that nng adds to a message: its length and the request's number.
 pub(crate) const FRAMING_BYTES: u64 = 12;
 
-/// Messages and bytes, nng's framing included and TCP's headers not.
+/// Messages and bytes, including nng's framing but not TCP's headers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Messages sent.
@@ -18,36 +18,36 @@
     pub bytes_received: u64,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Heartbeats and gossip: the control traffic.
     pub gossip: Traffic,
     /// Calls and their replies.
     pub calls: Traffic,
-    /// Messages dropped because they could not be read.
+    /// Messages dropped because they could not be decoded.
     pub malformed: u64,
     /// Heartbeats without an answer in time.
     pub heartbeats_missed: u64,
-    /// Times that this daemon refuted a record of its own death or suspicion.
+    /// Records of this daemon as suspect or dead that it refuted.
     pub refutations: u64,
-    /// Records that claim this instance's name for another process.
+    /// Records in which another process claims this instance's name.
     pub duplicate_instances: u64,
-    /// Links that began anew because two views stayed different.
+    /// Links that started over because two views stayed different.
     pub resyncs: u64,
 }
 
-/// The counts while they grow.
+/// Counters that can be updated through a shared reference.
 #[derive(Debug, Default)]
 pub(crate) struct LiveCounters(Cell<Counters>);
 
 impl LiveCounters {
-    /// The counts now.
+    /// The present values.
     pub(crate) fn get(&self) -> Counters {
         self.0.get()
     }
 
-    /// Changes the counts.
+    /// Updates the counters.
     pub(crate) fn update(&self, change: impl FnOnce(&mut Counters)) {
         let mut counters = self.0.get();
         change(&mut counters);
--- a/crates/peers/src/error.rs
+++ b/crates/peers/src/error.rs
@@ -1,27 +1,27 @@
-//! Errors of starting and of links.
+//! Errors of starting the membership and of links.
 
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-/// Membership that could not start.
+/// The membership could not be started.
 #[derive(Debug, Error)]
 pub enum PeersError {
     /// The socket could not be opened or configured.
     #[error("peer socket could not be opened: {0}")]
     Socket(nng::Error),
-    /// The listen address could not be taken.
+    /// The listen address could not be bound.
     #[error("listening for peers on {address} failed: {cause}")]
     Listen {
-        /// Address asked for.
+        /// The listen address.
         address: SocketAddr,
-        /// What the library said.
+        /// Error of the nng library.
         cause: nng::Error,
     },
 }
 
 impl PeersError {
-    /// Whether another process has the listen address.
+    /// Whether another process uses the listen address.
     #[must_use]
     pub fn is_address_in_use(&self) -> bool {
         match self {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Step of a link at which an error arose.
+/// The step of a link's request that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LinkStep {
     Open,
@@ -49,7 +49,7 @@
 }
 
 impl LinkError {
-    /// Makes the adapter from the library's error at one step.
+    /// Converts an error of the nng library at one step.
     pub(crate) fn at(step: LinkStep) -> impl Fn(nng::Error) -> Self {
         move |cause| Self { step, cause }
     }
--- a/crates/peers/src/gossip.rs
+++ b/crates/peers/src/gossip.rs
@@ -1,6 +1,6 @@
-//! News: what goes into a heartbeat and its answer, and what becomes of it.
+//! Gossip: builds the deltas that heartbeats and their answers carry, and applies received ones.
 //!
-//! **Budget.** A daemon of 1,000, in 7 regions with 24 zones, has about 42
+//! **Budget.** A daemon in a fleet of 1,000, in 7 regions with 24 zones, has about 42
 //! members in its zone and 4 links of its own (2 successors, 1 other zone, 1
 //! other region); about 4 others link to it. Each link carries one heartbeat
 //! and one answer a period, so that with a period of 1 s a daemon sends 8
@@ -10,21 +10,21 @@
 //! twice that where the kernel acknowledges each message by itself. That makes
 //! 2.4 to 3.2 KB a second of the 6 that a daemon may spend.
 //!
-//! News is what changed: each record or value crosses a link once, after the
-//! number up to which the other side has read ([`crate::wire::Cursors`]). A
-//! record is about 60 bytes. At 110 failures and 1,100 replacements a day, with
-//! three records for each, that is 0.04 records a second over 8 links, 20 bytes
-//! a second. A newcomer reads the whole table over each of its links: 1,000
-//! records or 60 KB a link, with 1,210 newcomers a day less than 10 bytes a
-//! second for each daemon. Values of [`crate::Topic::Load`] and `Platform` stay
+//! A delta holds changes only: each record or value crosses a link once, identified
+//! by the change number up to which the other side is current
+//! ([`crate::wire::Cursors`]). A record is about 60 bytes. At 110 failures and 1,100
+//! replacements a day, with three records for each, that is 0.04 records a second over
+//! 8 links, 20 bytes a second. A daemon that joins receives the whole table over each of
+//! its links: 1,000 records or 60 KB a link, with 1,210 joining a day less than 10 bytes
+//! a second for each daemon. Values of [`crate::Topic::Load`] and `Platform` stay
 //! in the zone, unless the fleet is small: 41 others' values of 75 bytes every
 //! 10 s, over the 4 links in the zone, are at most 1.2 KB a second sent. Busy
-//! daemons publish more often than that, and then the allowance below bounds the
-//! bytes and the values grow old; `docs/CAPACITY.md` has what was measured.
+//! daemons publish more often than that; then the token bucket limits the bytes and
+//! values arrive later; `docs/CAPACITY.md` has the measurements.
 //!
-//! Whatever is published, [`Allowance`] bounds the bytes of news that a daemon
-//! sends; a value that has to wait is replaced by its next one, so that nothing
-//! queues up. Membership goes before values.
+//! Whatever is published, [`TokenBucket`] limits the bytes of changes that a daemon
+//! sends. A value that has to wait is replaced by its successor, so that no queue
+//! builds up. Records of members are sent before values.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -32,62 +32,64 @@
 use mangofront_settings::ids::{Incarnation, InstanceId};
 
 use crate::member::Record;
-use crate::publication::{PUBLICATION_LIMIT_BYTES, Reach, Stored, Topic};
-use crate::pulse::zone_key;
+use crate::publication::{PUBLICATION_LIMIT_BYTES, Scope, StoredValue, Topic};
 use crate::state::{Shared, State};
-use crate::table::Teacher;
-use crate::wire::{Cursors, Delta, Publication, Pulse};
+use crate::table::Sender;
+use crate::wire::{Cursors, Delta, Publication, ZoneHeartbeat};
+use crate::zone_heartbeat::zone_key;
 
-/// News in one message at most, in bytes.
+/// Most bytes of changes in one message.
 const DELTA_LIMIT_BYTES: usize = 16 * 1024;
 
-/// News that may be saved up: enough to tell a newcomer of 1,000 members at once.
-const ALLOWANCE_LIMIT_BYTES: f64 = 64.0 * 1024.0;
+/// Capacity of the token bucket: enough to send the table of 1,000 members to a new daemon at once.
+const BUCKET_CAPACITY_BYTES: f64 = 64.0 * 1024.0;
 
-/// News that a message before its time must be able to carry, in bytes.
-const EARLY_BYTES: usize = 512;
+/// Bytes that must be available before a message is sent ahead of its heartbeat.
+const MIN_EARLY_MESSAGE_BYTES: usize = 512;
 
-/// Members up to which every value goes to everyone.
-const WIDE_FLEET_LIMIT: usize = 64;
+/// Most members of a fleet in which every value goes to all daemons.
+const SMALL_FLEET_LIMIT: usize = 64;
 
 /// Longest name of an instance, zone or region, in bytes.
 const NAME_LIMIT_BYTES: usize = 128;
 
-/// Bytes of a record besides its strings, at most.
+/// Most bytes of a record apart from its strings.
 const RECORD_BASE_BYTES: usize = 32;
 
-/// Bytes of a value's head besides its strings, at most.
+/// Most bytes of a value's header apart from its strings.
 const PUBLICATION_BASE_BYTES: usize = 16;
 
-/// Token bucket for news.
+/// Token bucket that limits the bytes of changes sent.
 #[derive(Debug)]
-pub(crate) struct Allowance {
+pub(crate) struct TokenBucket {
     bytes_per_s: f64,
     bytes: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
-impl Allowance {
-    /// A full bucket.
+impl TokenBucket {
+    /// Starts with a full bucket.
     pub(crate) fn new(bytes_per_s: u32, now: Instant) -> Self {
         Self {
             bytes_per_s: f64::from(bytes_per_s),
-            bytes: ALLOWANCE_LIMIT_BYTES,
-            filled: now,
+            bytes: BUCKET_CAPACITY_BYTES,
+            refilled_at: now,
         }
     }
 
-    /// Bytes that one message may carry now.
+    /// Bytes of changes that one message may carry now.
     fn available(&mut self, now: Instant) -> usize {
-        let passed = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.filled = now;
-        self.bytes = (self.bytes + passed * self.bytes_per_s).min(ALLOWANCE_LIMIT_BYTES);
+        let passed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.refilled_at = now;
+        self.bytes = (self.bytes + passed * self.bytes_per_s).min(BUCKET_CAPACITY_BYTES);
         (self.bytes.max(0.0) as usize).min(DELTA_LIMIT_BYTES)
     }
 
-    /// Whether it is worth to send a message before its time.
-    pub(crate) fn permits(&mut self, now: Instant) -> bool {
-        self.available(now) >= EARLY_BYTES
+    /// Whether enough bytes are available to send a message ahead of its heartbeat.
+    pub(crate) fn permits_early_message(&mut self, now: Instant) -> bool {
+        self.available(now) >= MIN_EARLY_MESSAGE_BYTES
     }
 
     fn spend(&mut self, bytes: usize) {
@@ -95,62 +97,64 @@
     }
 }
 
-/// Whom news is for, and how far it has read.
+/// The daemon that a delta is for, and the changes that it has already.
 #[derive(Debug)]
-pub(crate) struct Reader<'a> {
+pub(crate) struct Recipient<'a> {
     pub(crate) instance: &'a InstanceId,
     pub(crate) incarnation: Incarnation,
     pub(crate) after: Cursors,
 }
 
-impl Reader<'_> {
-    /// Whether the news came from this very life of the reader.
-    fn told(&self, teacher: Option<&Teacher>) -> bool {
-        teacher.is_some_and(|(who, life)| who == self.instance && *life == self.incarnation)
+impl Recipient<'_> {
+    /// Whether a change came from this same incarnation of the recipient.
+    fn is_sender(&self, sender: Option<&Sender>) -> bool {
+        sender.is_some_and(|(instance, incarnation)| {
+            instance == self.instance && *incarnation == self.incarnation
+        })
     }
 }
 
-/// Gathers what a reader lacks, as far as the allowance goes.
-pub(crate) fn compose(state: &mut State, reader: &Reader<'_>, now: Instant) -> Delta {
-    let limit = state.allowance.available(now);
+/// Collects the changes that a recipient lacks, as far as the token bucket allows.
+pub(crate) fn build_delta(state: &mut State, recipient: &Recipient<'_>, now: Instant) -> Delta {
+    let limit = state.token_bucket.available(now);
     let mut used = 0;
     let mut delta = Delta {
-        through: reader.after,
+        through: recipient.after,
         complete: true,
         ..Delta::default()
     };
-    compose_members(state, reader, limit, &mut used, &mut delta);
-    compose_publications(state, reader, limit, &mut used, &mut delta);
-    state.allowance.spend(used);
+    add_members(state, recipient, limit, &mut used, &mut delta);
+    add_publications(state, recipient, limit, &mut used, &mut delta);
+    state.token_bucket.spend(used);
     delta
 }
 
-/// Whether there is news of members that a reader lacks.
-pub(crate) fn has_members(state: &State, reader: &Reader<'_>) -> bool {
-    let mut changes = state.table.changes_after(reader.after.members);
-    changes.any(|(_, _, entry)| !reader.told(entry.learned_from.as_ref()))
+/// Whether there are changes of members that a recipient lacks.
+pub(crate) fn has_member_changes(state: &State, recipient: &Recipient<'_>) -> bool {
+    let mut changes = state.table.changes_after(recipient.after.members);
+    changes.any(|(_, _, entry)| !recipient.is_sender(entry.received_from.as_ref()))
 }
 
-/// The own record alone.
-pub(crate) fn compose_own(state: &State, instance: &InstanceId) -> Delta {
+/// A delta with this daemon's own record alone.
+pub(crate) fn own_record_delta(state: &State, instance: &InstanceId) -> Delta {
     Delta {
         members: vec![(instance.clone(), state.own.clone())],
         ..Delta::default()
     }
 }
 
-fn compose_members(
+fn add_members(
     state: &State,
-    reader: &Reader<'_>,
+    recipient: &Recipient<'_>,
     limit: usize,
     used: &mut usize,
     delta: &mut Delta,
 ) {
-    for (change, instance, entry) in state.table.changes_after(reader.after.members) {
+    for (change, instance, entry) in state.table.changes_after(recipient.after.members) {
         let Some(record) = &entry.record else {
             continue;
         };
-        if !reader.told(entry.learned_from.as_ref()) {
+        if !recipient.is_sender(entry.received_from.as_ref()) {
             let bytes = record_bytes(instance, record);
             if *used + bytes > limit {
                 delta.complete = false;
@@ -164,15 +168,20 @@
     delta.through.members = state.table.last_change();
 }
 
-fn compose_publications(
+fn add_publications(
     state: &State,
-    reader: &Reader<'_>,
+    recipient: &Recipient<'_>,
     limit: usize,
     used: &mut usize,
     delta: &mut Delta,
 ) {
-    for (change, topic, stored) in state.publications.changes_after(reader.after.publications) {
-        if !reader.told(stored.learned_from.as_ref()) && concerns(state, reader, topic, stored) {
+    for (change, topic, stored) in state
+        .publications
+        .changes_after(recipient.after.publications)
+    {
+        if !recipient.is_sender(stored.received_from.as_ref())
+            && is_in_scope(state, recipient, topic, stored)
+        {
             let value = &stored.published;
             let bytes = PUBLICATION_BASE_BYTES + value.origin.len() + value.value.len();
             if *used + bytes > limit {
@@ -197,17 +206,28 @@
     RECORD_BASE_BYTES + instance.len() + record.region.len() + record.availability_zone.len()
 }
 
-/// Whether a value goes to this reader.
-fn concerns(state: &State, reader: &Reader<'_>, topic: Topic, stored: &Stored) -> bool {
+/// Whether a value is to be sent to this recipient.
+fn is_in_scope(
+    state: &State,
+    recipient: &Recipient<'_>,
+    topic: Topic,
+    stored: &StoredValue,
+) -> bool {
     let origin = &stored.published.origin;
-    let own = stored.learned_from.is_none();
-    let wide = topic.reach() == Reach::Fleet || state.table.iter().count() <= WIDE_FLEET_LIMIT;
+    let own = stored.received_from.is_none();
+    let is_fleet_wide =
+        topic.scope() == Scope::Fleet || state.table.iter().count() <= SMALL_FLEET_LIMIT;
     let zone = |instance: &InstanceId| state.table.get(instance).map(|entry| entry.zone);
-    own || wide || zone(origin) == zone(reader.instance)
+    own || is_fleet_wide || zone(origin) == zone(recipient.instance)
 }
 
-/// Takes in what another daemon told.
-pub(crate) fn apply(shared: &Rc<Shared>, from: &Teacher, delta: Delta, pulses: &[Pulse]) {
+/// Applies a delta and zone heartbeats received from another daemon.
+pub(crate) fn apply(
+    shared: &Rc<Shared>,
+    from: &Sender,
+    delta: Delta,
+    zone_heartbeats: &[ZoneHeartbeat],
+) {
     let now = Instant::now();
     {
         let mut state = shared.state.borrow_mut();
@@ -217,15 +237,15 @@
         for publication in delta.publications {
             apply_publication(shared, &mut state, from, publication);
         }
-        state.pulses.merge(pulses, now);
+        state.zone_heartbeats.merge(zone_heartbeats, now);
     }
-    shared.report_news();
+    shared.report_new_records();
 }
 
 fn apply_record(
     shared: &Shared,
     state: &mut State,
-    from: &Teacher,
+    from: &Sender,
     instance: &InstanceId,
     record: Record,
     now: Instant,
@@ -240,21 +260,23 @@
         return;
     }
     let zone = zone_key(&record.region, &record.availability_zone);
-    state.pulses.know(zone, now);
-    state.table.learn(instance, record, Some(from.clone()), now);
+    state.zone_heartbeats.add_zone(zone, now);
+    state
+        .table
+        .merge_from(instance, record, Some(from.clone()), now);
 }
 
-/// Answers what is said of this instance itself.
+/// Refutes a received record of this instance, if it is wrong.
 fn refute(shared: &Shared, state: &mut State, record: &Record, now: Instant) {
     if record.incarnation > state.own.incarnation {
-        if state.freshness.joined() {
-            // Two processes under one name, and no way to tell who is right.
+        if state.freshness.has_joined() {
+            // Two processes use the same name, and nothing tells which one is right.
             shared
                 .counters
                 .update(|counters| counters.duplicate_instances += 1);
             return;
         }
-        // An earlier life began by a clock that ran ahead.
+        // The clock was ahead when an earlier incarnation started.
         state.own.incarnation = record.incarnation + 1;
         state.announce(0, now);
     } else if *record > state.own && record.incarnation == state.own.incarnation {
@@ -263,7 +285,7 @@
     }
 }
 
-fn apply_publication(shared: &Shared, state: &mut State, from: &Teacher, value: Publication) {
+fn apply_publication(shared: &Shared, state: &mut State, from: &Sender, value: Publication) {
     if value.value.len() > PUBLICATION_LIMIT_BYTES {
         shared.counters.update(|counters| counters.malformed += 1);
         return;
@@ -275,8 +297,8 @@
         .table
         .get(&value.origin)
         .and_then(|entry| entry.record.as_ref());
-    // A value of an earlier life, or of a daemon that is forgotten, is late gossip.
+    // A value of an earlier incarnation or of a forgotten daemon has arrived late.
     if record.is_some_and(|record| record.incarnation <= value.incarnation) {
-        state.publications.learn(value, Some(from.clone()));
+        state.publications.merge(value, Some(from.clone()));
     }
 }
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -1,4 +1,4 @@
-//! One task for each neighbour: heartbeat, answer, and what its absence means.
+//! The task of one link: sends heartbeats, applies the answers and handles missing ones.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,38 +7,38 @@
 use mangofront_settings::ids::{Incarnation, InstanceId};
 
 use crate::error::{LinkError, LinkStep};
-use crate::gossip::{self, Reader};
+use crate::gossip::{self, Recipient};
 use crate::member::MemberState;
 use crate::state::Shared;
 use crate::transport::Connection;
 use crate::wire::{self, Ack, Cursors, Delta, Ping, Reply, Request, Wants};
 
-/// Parts of a period after which a link looks for news of members to send early.
-pub(crate) const SLICES: u32 = 5;
+/// Checks in each period for changes of members that are worth an early message.
+pub(crate) const CHECKS_PER_PERIOD: u32 = 5;
 
-/// Missed heartbeats after which a connection is taken for half-open and dialled anew.
+/// Missed heartbeats after which a connection is assumed half-open and dialled anew.
 const REDIAL_AFTER_MISSED: u32 = 3;
 
-/// Heartbeats with differing views after which both sides read all again.
+/// Consecutive heartbeats with differing views after which both sides resend everything.
 const RESYNC_AFTER: u32 = 30;
 
-/// Periods for which a far member that did not answer is passed over.
+/// Periods for which a member of another zone that didn't answer isn't chosen for a link.
 const AVOID_PERIODS: u32 = 30;
 
-/// How far both sides of a link have read each other.
+/// The changes that the two sides of a link have from each other.
 #[derive(Debug, Default)]
 struct Progress {
-    /// Life of the peer that the rest belongs to.
+    /// Incarnation of the peer that the other fields belong to.
     incarnation: Incarnation,
-    /// What the peer has of ours.
+    /// This daemon's changes that the peer has.
     acked: Cursors,
-    /// What we have of the peer's.
-    heard: Cursors,
-    /// Heartbeats in a row that found differing views.
-    differing: u32,
+    /// The peer's changes that this daemon has.
+    received: Cursors,
+    /// Consecutive heartbeats that found differing views.
+    differing_views: u32,
 }
 
-/// Keeps the link to one neighbour until the task is dropped.
+/// Maintains the link to one neighbour until the task is dropped.
 pub(crate) async fn run(shared: Rc<Shared>, peer: InstanceId, address: SocketAddr) {
     let mut progress = Progress::default();
     let mut missed = 0;
@@ -47,21 +47,21 @@
         if connection.is_none() {
             connection = open(&shared, &peer, address);
         }
-        let beaten = match &connection {
-            Some(connection) => beat(&shared, &peer, connection, &mut progress).await,
+        let result = match &connection {
+            Some(connection) => heartbeat(&shared, &peer, connection, &mut progress).await,
             None => Err(None),
         };
-        match beaten {
+        match result {
             Ok(()) => missed = 0,
             Err(error) => {
                 missed += 1;
-                note_missed(&shared, &peer, missed, error.as_ref());
+                handle_missed(&shared, &peer, missed, error.as_ref());
             }
         }
         if missed > 0 && missed % REDIAL_AFTER_MISSED == 0 {
             connection = None;
         }
-        wait(&shared, &peer, &progress).await;
+        wait_until_due(&shared, &peer, &progress).await;
     }
 }
 
@@ -75,39 +75,42 @@
     }
 }
 
-/// One heartbeat and its answer.
-async fn beat(
+/// Sends one heartbeat and applies its answer.
+async fn heartbeat(
     shared: &Rc<Shared>,
     peer: &InstanceId,
     connection: &Connection,
     progress: &mut Progress,
 ) -> Result<(), Option<LinkError>> {
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let (ping, through) = {
         let mut state = shared.state.borrow_mut();
-        // Until the first answer it is open whether the peer lacks anything.
+        // Before the first answer it is unknown whether the peer lacks anything.
         let delta = if progress.incarnation == 0 {
-            gossip::compose_own(&state, &shared.options.instance)
+            gossip::own_record_delta(&state, &shared.options.instance)
         } else {
-            gossip::compose(&mut state, &reader(peer, progress), asked)
+            gossip::build_delta(&mut state, &recipient(peer, progress), sent_at)
         };
         let through = delta.through;
-        (ping(shared, &mut state, peer, progress, delta), through)
+        (
+            build_ping(shared, &mut state, peer, progress, delta),
+            through,
+        )
     };
     let ack = exchange(shared, connection, ping).await?;
-    read_ack(shared, peer, ack, progress, through, asked);
+    apply_ack(shared, peer, ack, progress, through, sent_at);
     Ok(())
 }
 
-fn reader<'a>(peer: &'a InstanceId, progress: &Progress) -> Reader<'a> {
-    Reader {
+fn recipient<'a>(peer: &'a InstanceId, progress: &Progress) -> Recipient<'a> {
+    Recipient {
         instance: peer,
         incarnation: progress.incarnation,
         after: progress.acked,
     }
 }
 
-fn ping(
+fn build_ping(
     shared: &Shared,
     state: &mut crate::state::State,
     peer: &InstanceId,
@@ -118,14 +121,14 @@
         from: shared.options.instance.clone(),
         to: peer.clone(),
         incarnation: state.incarnation(),
-        view: state.table.view(),
-        wants: Wants::After(progress.incarnation, progress.heard),
+        view: state.table.view_hash(),
+        wants: Wants::After(progress.incarnation, progress.received),
         delta,
-        pulses: state.pulses.compose(),
+        zone_heartbeats: state.zone_heartbeats.next_message(),
     }
 }
 
-/// Sends a heartbeat and reads the answer.
+/// Sends a heartbeat and receives the answer.
 async fn exchange(
     shared: &Shared,
     connection: &Connection,
@@ -150,50 +153,58 @@
     }
 }
 
-fn read_ack(
+fn apply_ack(
     shared: &Rc<Shared>,
     peer: &InstanceId,
     ack: Ack,
     progress: &mut Progress,
     through: Cursors,
-    asked: Instant,
+    sent_at: Instant,
 ) {
-    let same_life = ack.incarnation == progress.incarnation;
+    let same_incarnation = ack.incarnation == progress.incarnation;
     let (view, stale, complete) = (ack.view, ack.stale, ack.delta.complete);
-    let heard = ack.delta.through;
+    let received = ack.delta.through;
     gossip::apply(
         shared,
         &(peer.clone(), ack.incarnation),
         ack.delta,
-        &ack.pulses,
+        &ack.zone_heartbeats,
     );
     let mut state = shared.state.borrow_mut();
-    state.heard(peer, Instant::now());
+    state.record_answer(peer, Instant::now());
     if complete && !stale {
-        state.freshness.refreshed(asked);
+        state.freshness.record_refresh(sent_at);
     }
-    let agree = state.table.view() == view;
+    let views_agree = state.table.view_hash() == view;
     progress.incarnation = ack.incarnation;
-    progress.acked = match (same_life, agree) {
-        // Both know the same members, so that none has to be told.
+    progress.acked = match (same_incarnation, views_agree) {
+        // Both have the same members, so that none needs to be sent.
         (_, true) => Cursors {
             members: state.table.last_change(),
-            publications: if same_life { through.publications } else { 0 },
+            publications: if same_incarnation {
+                through.publications
+            } else {
+                0
+            },
         },
         (true, false) => through,
-        // A new life has read nothing, whatever the former had.
+        // A new incarnation starts with nothing, whatever the previous one had.
         (false, false) => Cursors::default(),
     };
-    progress.heard = heard;
-    progress.differing = if agree { 0 } else { progress.differing + 1 };
-    if progress.differing >= RESYNC_AFTER {
+    progress.received = received;
+    progress.differing_views = if views_agree {
+        0
+    } else {
+        progress.differing_views + 1
+    };
+    if progress.differing_views >= RESYNC_AFTER {
         shared.counters.update(|counters| counters.resyncs += 1);
         *progress = Progress::default();
     }
 }
 
-/// Draws the conclusions from a heartbeat without an answer.
-fn note_missed(shared: &Rc<Shared>, peer: &InstanceId, missed: u32, error: Option<&LinkError>) {
+/// Handles a heartbeat without an answer: suspects or avoids a peer that is silent for too long.
+fn handle_missed(shared: &Rc<Shared>, peer: &InstanceId, missed: u32, error: Option<&LinkError>) {
     shared
         .counters
         .update(|counters| counters.heartbeats_missed += 1);
@@ -205,17 +216,18 @@
     }
     let now = Instant::now();
     let mut state = shared.state.borrow_mut();
-    if state.freshness.is_stale(now) || state.unheard_for(peer, now) < shared.options.suspect_after
+    if state.freshness.is_stale(now)
+        || state.unanswered_for(peer, now) < shared.options.suspect_after
     {
         return;
     }
-    if state.watches(peer) {
+    if state.may_suspect(peer) {
         let record = state
             .table
             .get(peer)
             .and_then(|entry| entry.record.as_ref());
         if record.is_some_and(|record| record.state.is_responsive()) {
-            state.table.raise(peer, MemberState::Suspect, now);
+            state.table.raise_state(peer, MemberState::Suspect, now);
         }
     } else if let Some(entry) = state.table.get_mut(peer) {
         entry.avoid_until = Some(now + shared.options.heartbeat_period * AVOID_PERIODS);
@@ -224,58 +236,63 @@
     shared.report_changes();
 }
 
-/// Waits a period, or less when there is news of members that the peer lacks.
-async fn wait(shared: &Shared, peer: &InstanceId, progress: &Progress) {
+/// Waits a period, or less when there are changes of members that the peer lacks.
+async fn wait_until_due(shared: &Shared, peer: &InstanceId, progress: &Progress) {
     let period = shared.options.heartbeat_period;
-    let slice = period / SLICES;
-    // Without the jitter all links of a fleet that started together beat together.
+    let check_interval = period / CHECKS_PER_PERIOD;
+    // Without jitter all links of a fleet that started together would send together.
     let due = Instant::now() + period.mul_f64(rand::random_range(0.9..1.1));
     loop {
         let left = due.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return;
         }
-        compio::time::sleep(left.min(slice)).await;
+        compio::time::sleep(left.min(check_interval)).await;
         let mut state = shared.state.borrow_mut();
         let now = Instant::now();
-        if gossip::has_members(&state, &reader(peer, progress)) && state.allowance.permits(now) {
+        if gossip::has_member_changes(&state, &recipient(peer, progress))
+            && state.token_bucket.permits_early_message(now)
+        {
             return;
         }
     }
 }
 
-/// Tries once whether a daemon that is dead or was never heard is there.
+/// Makes one attempt to reach a daemon that is dead or has never answered.
 ///
-/// It carries no more than the own record and what is said of the other, so
-/// that trying is cheap; if it is there it becomes a neighbour or is heard of
-/// from its neighbours.
+/// The message contains only the own record and the known record of that daemon, so that
+/// the attempt is cheap. A daemon that answers becomes a neighbour, or arrives in the
+/// deltas of its neighbours.
 pub(crate) async fn try_contact(shared: Rc<Shared>, peer: InstanceId, address: SocketAddr) {
     let Some(connection) = open(&shared, &peer, address) else {
         return;
     };
     let ping = {
         let mut state = shared.state.borrow_mut();
-        let mut delta = gossip::compose_own(&state, &shared.options.instance);
-        let said = state
+        let mut delta = gossip::own_record_delta(&state, &shared.options.instance);
+        let known = state
             .table
             .get(&peer)
             .and_then(|entry| entry.record.clone());
         delta
             .members
-            .extend(said.map(|record| (peer.clone(), record)));
+            .extend(known.map(|record| (peer.clone(), record)));
         Ping {
             wants: Wants::OwnRecord,
-            ..ping(&shared, &mut state, &peer, &Progress::default(), delta)
+            ..build_ping(&shared, &mut state, &peer, &Progress::default(), delta)
         }
     };
     if let Ok(ack) = exchange(&shared, &connection, ping).await {
-        let teacher = (peer.clone(), ack.incarnation);
-        gossip::apply(&shared, &teacher, ack.delta, &ack.pulses);
-        shared.state.borrow_mut().heard(&peer, Instant::now());
+        let sender = (peer.clone(), ack.incarnation);
+        gossip::apply(&shared, &sender, ack.delta, &ack.zone_heartbeats);
+        shared
+            .state
+            .borrow_mut()
+            .record_answer(&peer, Instant::now());
     }
 }
 
-/// Time between two looks at the clock.
-pub(crate) fn slice(period: Duration) -> Duration {
-    period / SLICES
+/// Interval at which links check for changes and maintenance runs.
+pub(crate) fn check_interval(period: Duration) -> Duration {
+    period / CHECKS_PER_PERIOD
 }
--- a/crates/peers/src/keeper.rs
+++ b/crates/peers/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! The task that watches the clock and keeps the links.
+//! The task that applies timeouts and opens and closes links.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,57 +14,58 @@
 use crate::state::{Shared, State};
 use crate::topology::{self, Candidate};
 
-/// Daemons tried at once while none has ever answered.
+/// Daemons contacted at once until one has answered.
 const JOIN_CONTACTS: usize = 3;
 
-/// Periods between two tries of a dead daemon, once joined.
+/// Average number of periods between two attempts to contact a dead daemon, after joining.
 const CONTACT_EVERY_PERIODS: u32 = 4;
 
-/// A neighbour's task; dropping it ends the link.
+/// A neighbour's task; dropping it closes the link.
 struct Link {
     address: SocketAddr,
     _task: JoinHandle<()>,
 }
 
-/// Keeps everything going until the task is dropped.
+/// Runs maintenance until the task is dropped.
 pub(crate) async fn run(shared: Rc<Shared>) {
-    let slice = link::slice(shared.options.heartbeat_period);
+    let check_interval = link::check_interval(shared.options.heartbeat_period);
     let mut links = BTreeMap::new();
     let mut contacts = Vec::new();
-    let mut seen = 0;
-    let mut slices = 0;
+    let mut seen_change = 0;
+    let mut checks = 0;
     loop {
         let now = Instant::now();
         if shared.state.borrow_mut().tick(now) {
             log::warn!("peers: the process was paused, its view counts as stale");
         }
-        let beat = slices % link::SLICES == 0;
-        if beat {
-            age(&shared, now);
+        let is_period_start = checks % link::CHECKS_PER_PERIOD == 0;
+        if is_period_start {
+            apply_timeouts(&shared, now);
             contacts.retain(|task: &JoinHandle<()>| !task.is_finished());
-            contacts.extend(contact_lost(&shared, slices, now));
+            contacts.extend(contact_unreachable(&shared, checks, now));
             shared.report_changes();
         }
-        let changed = shared.state.borrow().table.last_change();
-        if beat || changed != seen {
-            seen = changed;
-            keep_links(&shared, &mut links, now);
+        let last_change = shared.state.borrow().table.last_change();
+        if is_period_start || last_change != seen_change {
+            seen_change = last_change;
+            update_links(&shared, &mut links, now);
         }
-        slices = slices.wrapping_add(1);
-        compio::time::sleep(slice).await;
+        checks = checks.wrapping_add(1);
+        compio::time::sleep(check_interval).await;
     }
 }
 
-/// What time alone changes.
-fn age(shared: &Shared, now: Instant) {
+/// Applies the changes that are due to time alone.
+fn apply_timeouts(shared: &Shared, now: Instant) {
     let options = &shared.options;
     let mut state = shared.state.borrow_mut();
-    state.pulses.beat(now);
-    // After a pause only fresh news may condemn; before it the time was not ours.
+    state.zone_heartbeats.increment_own(now);
+    // After a pause members may be declared dead only on current information, as this
+    // process could not receive their answers during it.
     if !state.freshness.is_stale(now) {
         state
             .table
-            .age(options.dead_after, options.tombstone_after, now);
+            .apply_timeouts(options.dead_after, options.tombstone_after, now);
     }
     let State {
         table,
@@ -72,11 +73,11 @@
         ..
     } = &mut *state;
     publications.retain(|origin| table.get(origin).is_some());
-    shared.call_links.borrow_mut().close_idle(now);
+    shared.call_connections.borrow_mut().close_idle(now);
 }
 
-/// Starts and ends links so that they are those of the present view.
-fn keep_links(shared: &Rc<Shared>, links: &mut BTreeMap<InstanceId, Link>, now: Instant) {
+/// Opens and closes links so that they match the neighbours of the current view.
+fn update_links(shared: &Rc<Shared>, links: &mut BTreeMap<InstanceId, Link>, now: Instant) {
     let others = candidates(&shared.state.borrow(), shared, now);
     let known = others.len();
     let wanted = topology::neighbours(&shared.options, others);
@@ -90,7 +91,7 @@
     links.retain(|instance, link| {
         let keep = wanted.get(instance) == Some(&link.address);
         if !keep {
-            state.end_contact(instance);
+            state.untrack_neighbour(instance);
         }
         keep
     });
@@ -98,7 +99,7 @@
         if links.contains_key(&instance) {
             continue;
         }
-        state.begin_contact(&instance, now);
+        state.track_neighbour(&instance, now);
         let task = spawn(link::run(Rc::clone(shared), instance.clone(), address));
         links.insert(
             instance,
@@ -110,7 +111,7 @@
     }
 }
 
-/// Members that are heard of and not dead.
+/// Other members that have a record and aren't dead.
 fn candidates(state: &State, shared: &Shared, now: Instant) -> Vec<Candidate> {
     let mut candidates = Vec::new();
     for (instance, entry) in state.table.iter() {
@@ -131,24 +132,26 @@
     candidates
 }
 
-/// Tries a few daemons that are listed or known and don't answer.
+/// Contacts a few daemons that are listed or known and don't answer.
 ///
-/// This is how a newcomer finds the others and how two sides of a cut find each
-/// other again. Each daemon tries only one at a time, drawn at random, so that
-/// the healing of a cut brings no storm.
-fn contact_lost(shared: &Rc<Shared>, slices: u32, now: Instant) -> Vec<JoinHandle<()>> {
+/// A new daemon finds the others this way, and the two sides of a network partition find
+/// each other again. Each daemon contacts only one at a time, chosen at random, so that
+/// the end of a partition causes no burst of messages.
+fn contact_unreachable(shared: &Rc<Shared>, checks: u32, now: Instant) -> Vec<JoinHandle<()>> {
     let state = shared.state.borrow();
-    let joined = state.freshness.joined();
-    let turn = rand::random_ratio(1, CONTACT_EVERY_PERIODS);
-    if joined && !turn && slices > 0 {
+    let has_joined = state.freshness.has_joined();
+    let is_chosen = rand::random_ratio(1, CONTACT_EVERY_PERIODS);
+    if has_joined && !is_chosen && checks > 0 {
         return Vec::new();
     }
-    let lost = state.members(now).into_iter().filter(|member| {
-        let unheard = member.incarnation == 0;
-        member.instance != shared.options.instance && (unheard || member.state == MemberState::Dead)
+    let unreachable = state.members(now).into_iter().filter(|member| {
+        let never_answered = member.incarnation == 0;
+        member.instance != shared.options.instance
+            && (never_answered || member.state == MemberState::Dead)
     });
-    let count = if joined { 1 } else { JOIN_CONTACTS };
-    lost.sample(&mut rand::rng(), count)
+    let count = if has_joined { 1 } else { JOIN_CONTACTS };
+    unreachable
+        .sample(&mut rand::rng(), count)
         .into_iter()
         .map(|member| {
             let shared = Rc::clone(shared);
--- a/crates/peers/src/member.rs
+++ b/crates/peers/src/member.rs
@@ -1,11 +1,10 @@
-//! What is known of one daemon.
+//! Records and states of members.
 //!
-//! A [`Record`] is the part that travels. Two records of the same instance are
-//! compared whole, in the order of their fields, and the greater one wins, so
+//! Daemons exchange a [`Record`] for each instance. Two records of the same instance are
+//! compared field by field, in the order of the fields, and the greater one wins, so
 //! that merging gives the same result in any order and however often a record
-//! arrives. Only the instance itself raises its `refutation`, which is how one
-//! that was wrongly called dead comes back, and why a late record cannot revive
-//! one that is.
+//! arrives. Only the instance itself increments its `refutation`. That is how an instance
+//! wrongly declared dead returns, and why a late record can't revive a dead one.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -13,16 +12,16 @@
 use mangofront_settings::ids::{AvailabilityZone, Incarnation, InstanceId, Region};
 use serde::{Deserialize, Serialize};
 
-/// State of a member in this daemon's view; a later one outranks an earlier one.
+/// State of a member in this daemon's view; a later variant outranks an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// Answers.
     Alive,
     /// Answers, and has announced a planned leave.
     Leaving,
-    /// Has not answered for a while, or is listed and was never heard.
+    /// Hasn't answered for a while, or is listed and has never answered.
     Suspect,
-    /// Given up; a tombstone until it expires or a later life appears.
+    /// Failed or left; kept as a tombstone until it expires or a later incarnation appears.
     Dead,
 }
 
@@ -34,14 +33,15 @@
     }
 }
 
-/// What daemons tell each other of one instance.
+/// What daemons send each other about one instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Record {
-    /// Life of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Number that only the process itself raises, to refute older records of this life.
+    /// Number that only the process itself increments, to refute older records of this
+    /// incarnation.
     pub refutation: u32,
-    /// What is claimed of it.
+    /// State that the record claims.
     pub state: MemberState,
     /// Region it is in.
     pub region: Region,
@@ -53,7 +53,7 @@
     pub capacity_percent: u32,
 }
 
-/// One daemon as the platform lists it.
+/// One daemon in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedPeer {
     /// Name of the instance.
@@ -64,7 +64,7 @@
     pub availability_zone: AvailabilityZone,
     /// Address it listens on for other daemons.
     pub address: SocketAddr,
-    /// Whether the platform says that it is going.
+    /// Whether the platform says that it is leaving.
     pub leaving: bool,
 }
 
@@ -79,22 +79,22 @@
     pub availability_zone: AvailabilityZone,
     /// Address it listens on for other daemons.
     pub address: SocketAddr,
-    /// Processor time that it may use, in percent of a core; 0 when it never said so.
+    /// Processor time that it may use, in percent of a core; 0 while no record of it is known.
     pub capacity_percent: u32,
-    /// Life of the process; 0 when it is listed and was never heard.
+    /// Incarnation of the process; 0 if it is listed and no record of it is known.
     pub incarnation: Incarnation,
     /// State in this view.
     pub state: MemberState,
-    /// Last answer to this daemon or last newer record; of a member that is no
-    /// neighbour this can be long ago, as its zone's heartbeat stands for it.
-    pub last_heard: Option<Instant>,
+    /// Last answer to this daemon or last newer record. For a member that is no neighbour
+    /// this may be long ago, as its zone's heartbeat is used instead.
+    pub last_received: Option<Instant>,
 }
 
-/// Change of a member's state or life in this view.
+/// Change of a member's state or incarnation in this view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberChange {
     /// The member as it is now.
     pub member: Member,
-    /// Life and state reported before; `None` for a new member.
+    /// Incarnation and state reported before; `None` for a new member.
     pub previous: Option<(Incarnation, MemberState)>,
 }
--- a/crates/peers/src/options.rs
+++ b/crates/peers/src/options.rs
@@ -1,14 +1,14 @@
 //! Settings of one daemon's membership.
 //!
-//! Every time-out is counted in heartbeat periods unless set, so that a test
-//! that beats ten times as fast ages everything ten times as fast.
+//! The default of each timeout is a multiple of the heartbeat period, so that a test
+//! with a shorter period runs faster in all respects.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use mangofront_settings::ids::{AvailabilityZone, InstanceId, Region};
 
-/// Period between two heartbeats to one neighbour, unless set.
+/// Default period between two heartbeats to one neighbour.
 const DEFAULT_HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
 
 /// Periods without an answer before a neighbour is suspected.
@@ -26,13 +26,13 @@
 /// Periods by which the own timer may be late before the process counts as paused.
 const PAUSE_THRESHOLD_PERIODS: u32 = 3;
 
-/// Shortest lateness taken for a pause: a busy machine alone delays timers this much.
+/// Least lateness that counts as a pause; a busy machine alone delays timers by up to this much.
 const PAUSE_THRESHOLD_FLOOR: Duration = Duration::from_millis(1500);
 
-/// Members up to which everyone links to everyone.
+/// Most members of a fleet in which all daemons link to each other.
 const DEFAULT_FULL_MESH_LIMIT: usize = 8;
 
-/// Bytes of news a daemon may send a second, averaged.
+/// Average bytes of gossip that a daemon may send per second.
 const DEFAULT_GOSSIP_BYTES_PER_S: u32 = 1_500;
 
 /// Settings of [`crate::Peers::start`].
@@ -57,7 +57,7 @@
 }
 
 impl PeersOptions {
-    /// Starts from the daemon's own place; port 0 of `listen` takes a free one.
+    /// Starts with the daemon's own identity and location; port 0 of `listen` selects a free one.
     #[must_use]
     pub fn builder(
         instance: impl Into<InstanceId>,
@@ -143,7 +143,7 @@
         self
     }
 
-    /// Time for which a dead member is remembered; 600 periods by default.
+    /// Time for which a dead member is kept as a tombstone; 600 periods by default.
     #[must_use]
     pub fn tombstone_after(mut self, time: Duration) -> Self {
         self.tombstone_after = Some(time);
@@ -157,7 +157,7 @@
         self
     }
 
-    /// Members up to which everyone links to everyone; 8 by default.
+    /// Most members of a fleet in which all daemons link to each other; 8 by default.
     #[must_use]
     pub fn full_mesh_limit(mut self, members: usize) -> Self {
         self.full_mesh_limit = members;
@@ -185,14 +185,14 @@
         self
     }
 
-    /// News sent a second on average, in bytes; 1,500 by default.
+    /// Average bytes of gossip sent per second; 1,500 by default.
     #[must_use]
     pub fn gossip_bytes_per_s(mut self, bytes: u32) -> Self {
         self.gossip_bytes_per_s = bytes;
         self
     }
 
-    /// Fixes the settings.
+    /// Builds the settings.
     #[must_use]
     pub fn build(self) -> PeersOptions {
         let period = self.heartbeat_period;
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -1,4 +1,4 @@
-//! The handle that embedders hold.
+//! The handle to a running membership.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,10 +12,10 @@
 use futures_util::future::LocalBoxFuture;
 use mangofront_settings::ids::{AvailabilityZone, Incarnation, InstanceId};
 
-use crate::call::{self, CallError, CallLinks, Service};
+use crate::call::{self, CallConnections, CallError, Service};
 use crate::counters::{Counters, LiveCounters};
 use crate::error::PeersError;
-use crate::keeper;
+use crate::maintenance;
 use crate::member::{ListedPeer, Member, MemberChange, MemberState, Record};
 use crate::options::PeersOptions;
 use crate::publication::{PUBLICATION_LIMIT_BYTES, PublishError, Subscription, Topic};
@@ -26,7 +26,7 @@
 use crate::transport::Server;
 use crate::wire::Publication;
 
-/// Told of each change in the view, outside of any borrow.
+/// Called for each change in the view, while the state isn't borrowed.
 pub type OnChange = Rc<dyn Fn(MemberChange)>;
 
 /// Answers a call of another daemon.
@@ -37,7 +37,8 @@
 
 /// A daemon's membership, bound to the runtime that it was started on.
 ///
-/// Clones share one membership; it ends with the last one, or by [`Peers::stop`].
+/// Clones share one membership. It ends when the last clone is dropped, or by
+/// [`Peers::stop`].
 #[derive(Clone)]
 pub struct Peers {
     shared: Rc<Shared>,
@@ -54,7 +55,7 @@
     }
 }
 
-/// The running tasks; they hold the shared state, never a handle.
+/// The running tasks; they own the shared state but no [`Peers`], which would keep them alive.
 struct Tasks {
     shared: Rc<Shared>,
     running: RefCell<Vec<JoinHandle<()>>>,
@@ -68,10 +69,10 @@
 }
 
 impl Peers {
-    /// Listens, and starts to look for the others once they are listed.
+    /// Listens, and starts to contact the others once they are listed.
     ///
     /// # Errors
-    /// [`PeersError`] when the socket or the address can't be had.
+    /// [`PeersError`] when the socket can't be opened or the address can't be bound.
     pub fn start(
         options: PeersOptions,
         on_change: OnChange,
@@ -92,13 +93,13 @@
             options,
             server,
             state: RefCell::new(state),
-            call_links: RefCell::new(CallLinks::default()),
+            call_connections: RefCell::new(CallConnections::default()),
             counters: LiveCounters::default(),
             running_calls: Cell::new(0),
             on_change,
             responder,
         });
-        let mut running = vec![spawn(keeper::run(Rc::clone(&shared)))];
+        let mut running = vec![spawn(maintenance::run(Rc::clone(&shared)))];
         for _ in 0..serve::RECEIVERS {
             running.push(spawn(serve::run(Rc::clone(&shared))));
         }
@@ -115,23 +116,24 @@
         self.shared.server.address()
     }
 
-    /// Life of this process: milliseconds since 1970 at its start, and ten random bits below.
+    /// Incarnation of this process: the milliseconds since 1970 at its start, followed by ten
+    /// random low bits.
     ///
-    /// It rises once more when the first answer of all tells of an earlier life
-    /// whose clock ran ahead; after that it stays.
+    /// It increases once more if the first answer reports an earlier incarnation whose clock
+    /// was ahead; after that it is constant.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.shared.state.borrow().incarnation()
     }
 
-    /// Takes the platform's list; members known by gossip alone are kept.
+    /// Replaces the platform's list; members known by gossip alone are kept.
     pub fn set_listed(&self, listed: &[ListedPeer]) {
         let now = Instant::now();
         self.shared.state.borrow_mut().table.set_listed(listed, now);
         self.shared.report_changes();
     }
 
-    /// Everyone in this daemon's view, itself included.
+    /// All members in this daemon's view, itself included.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
         self.shared.state.borrow().members(Instant::now())
@@ -144,20 +146,20 @@
         member.is_some_and(|member| member.state == MemberState::Alive)
     }
 
-    /// Whether the view can be relied upon: no pause since it was refreshed, and,
-    /// when others are known, one of them answered lately.
+    /// Whether the view is reliable: the process wasn't paused since the view was refreshed,
+    /// and, if other daemons are known, one of them answered recently.
     #[must_use]
     pub fn view_fresh(&self) -> bool {
         self.shared.state.borrow().view_fresh(Instant::now())
     }
 
-    /// Whether this daemon is one of the `count` of its availability zone that
-    /// take on `duty` for the others, by rendezvous hashing.
+    /// Whether this daemon is one of the `count` members of its availability zone that
+    /// rendezvous hashing selects for `duty`.
     ///
-    /// Views may differ for a while, so that a few more or fewer than `count`
-    /// can think so at once: it is for work that only costs when done twice. A
-    /// daemon whose view can't be relied upon takes on every duty, since nobody
-    /// may be doing it for it; one that is leaving takes on none.
+    /// Views may differ for a while, so that a few more or fewer than `count` daemons may
+    /// be selected at once: use it for work that is merely wasted when done twice. A daemon
+    /// whose view isn't reliable takes on every duty, as nobody else may be doing it; one
+    /// that is leaving takes on none.
     #[must_use]
     pub fn is_delegate(&self, duty: &str, count: usize) -> bool {
         if !self.view_fresh() {
@@ -166,16 +168,16 @@
         topology::is_delegate(&self.shared.options, &self.members(), duty, count)
     }
 
-    /// The members of the own availability zone that take on `duty`, as
-    /// [`Peers::is_delegate`] sees them; this daemon may be among them.
+    /// The members of the own availability zone that are selected for `duty`, as in
+    /// [`Peers::is_delegate`]; this daemon may be among them.
     #[must_use]
     pub fn delegates(&self, duty: &str, count: usize) -> Vec<Member> {
         topology::delegates(&self.shared.options, &self.members(), duty, count)
     }
 
-    /// Members of each availability zone that take on `duty`, this daemon's own zone
-    /// among them: those with the most processor time first, and by rendezvous hashing
-    /// among equals.
+    /// The members of each availability zone that are selected for `duty`, this daemon's own
+    /// zone included: those with the most processor time first, ties broken by rendezvous
+    /// hashing.
     #[must_use]
     pub fn delegates_by_capacity(
         &self,
@@ -186,8 +188,8 @@
         topology::delegates_by_zone(&self.members(), duty, count, capacity)
     }
 
-    /// Members of each availability zone that take on `duty`, as [`Peers::delegates`] names
-    /// those of the own one.
+    /// The members of each availability zone that are selected for `duty`, as
+    /// [`Peers::delegates`] does for the own zone.
     #[must_use]
     pub fn delegates_in_each_zone(
         &self,
@@ -197,16 +199,16 @@
         topology::delegates_by_zone(&self.members(), duty, count, |_| 0)
     }
 
-    /// How many pauses of this process were seen.
+    /// Number of pauses of this process that were detected.
     #[must_use]
-    pub fn woke(&self) -> u64 {
-        self.shared.state.borrow().freshness.woke()
+    pub fn pause_count(&self) -> u64 {
+        self.shared.state.borrow().freshness.pauses()
     }
 
     /// Publishes this daemon's latest value of a topic.
     ///
     /// # Errors
-    /// [`PublishError::TooLarge`] past [`PUBLICATION_LIMIT_BYTES`].
+    /// [`PublishError::TooLarge`] for a value above [`PUBLICATION_LIMIT_BYTES`].
     pub fn publish(&self, topic: Topic, value: Bytes) -> Result<(), PublishError> {
         if value.len() > PUBLICATION_LIMIT_BYTES {
             return Err(PublishError::TooLarge { bytes: value.len() });
@@ -220,11 +222,11 @@
             origin,
             value: value.to_vec(),
         };
-        state.publications.learn(publication, None);
+        state.publications.merge(publication, None);
         Ok(())
     }
 
-    /// Latest values of a topic, those that are known already first.
+    /// The latest values of a topic, beginning with those already known.
     #[must_use]
     pub fn subscribe(&self, topic: Topic) -> Subscription {
         self.shared.state.borrow_mut().publications.subscribe(topic)
@@ -233,7 +235,7 @@
     /// Calls one other daemon; the request is sent at most once.
     ///
     /// # Errors
-    /// [`CallError`], which tells whether the request may have been taken up.
+    /// [`CallError`], which tells whether the other side may have started to handle the request.
     pub async fn call(
         &self,
         peer: &InstanceId,
@@ -244,7 +246,7 @@
         call::call(&self.shared, peer, service, payload, timeout).await
     }
 
-    /// Announces a planned leave; answers go on until the handle is dropped.
+    /// Announces a planned leave; requests are still answered until the handle is dropped.
     pub fn leave(&self) {
         let mut state = self.shared.state.borrow_mut();
         if state.own.state != MemberState::Leaving {
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Ends every task and frees the address, also while clones remain.
+    /// Stops every task and frees the address, even while clones remain.
     pub fn stop(&self) {
         self.tasks.running.take().clear();
         self.shared.server.close();
@@ -266,7 +268,8 @@
     }
 }
 
-/// A number that is higher in each later life, also when two begin in one millisecond's reach.
+/// A number that is higher for each later incarnation; the random bits tell apart two
+/// that start within a millisecond.
 fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let started_ms = since.map_or(0, |since| since.as_millis() as u64);
--- a/crates/peers/src/publication.rs
+++ b/crates/peers/src/publication.rs
@@ -1,8 +1,8 @@
-//! Latest values that daemons publish, and who listens.
+//! Published values and subscriptions to them.
 //!
-//! A value replaces an older one of its topic and origin, by incarnation and
-//! then sequence. A subscription keeps only the latest value of each origin
-//! until it is read, so that a slow reader holds no more than one value a
+//! A value replaces an older one of its topic and origin; they are ordered by incarnation
+//! and then sequence. A subscription keeps only the latest value of each origin
+//! until it is read, so that a slow subscriber stores at most one value for each
 //! member.
 
 use std::cell::RefCell;
@@ -17,90 +17,90 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::table::Teacher;
+use crate::table::Sender;
 use crate::wire::Publication;
 
 /// Largest value, in bytes.
 pub const PUBLICATION_LIMIT_BYTES: usize = 2048;
 
-/// What a value is about.
+/// Subject of a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Topic {
     /// Revisions and digests of published configurations.
     Platform,
     /// Own placements, for the load view.
     Load,
-    /// An embedder's own.
+    /// A topic that the embedder defines.
     Custom(u8),
 }
 
-/// How far values travel once the fleet has outgrown a small one.
+/// The daemons that values are sent to in a fleet of more than 64.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
-    /// To the origin's links and on within its availability zone.
+pub enum Scope {
+    /// The neighbours of the origin, and from there the origin's availability zone.
     Zone,
-    /// To everyone.
+    /// All daemons.
     Fleet,
 }
 
 impl Topic {
-    /// How far its values travel; in a fleet of up to 64 all go to everyone.
+    /// Scope of the topic's values; in a fleet of up to 64 all values go to all daemons.
     #[must_use]
-    pub fn reach(self) -> Reach {
+    pub fn scope(self) -> Scope {
         match self {
-            Self::Platform | Self::Load => Reach::Zone,
-            Self::Custom(_) => Reach::Fleet,
+            Self::Platform | Self::Load => Scope::Zone,
+            Self::Custom(_) => Scope::Fleet,
         }
     }
 }
 
-/// A value as a subscriber sees it.
+/// A value as a subscriber receives it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Published {
     /// Daemon that published it.
     pub origin: InstanceId,
-    /// Life of that daemon.
+    /// Incarnation of that daemon.
     pub incarnation: Incarnation,
-    /// Number of the value within that life and topic.
+    /// Number of the value within that incarnation and topic.
     pub sequence: u64,
     /// The value.
     pub value: Bytes,
 }
 
-/// Value that was not published.
+/// The value was not published.
 #[derive(Debug, Error)]
 pub enum PublishError {
     /// It is larger than [`PUBLICATION_LIMIT_BYTES`].
     #[error("value of {bytes} bytes is larger than a publication may be")]
     TooLarge {
-        /// Its size.
+        /// Size of the value.
         bytes: usize,
     },
 }
 
-/// Key of a value: the later one of a key replaces the earlier one.
+/// Key of a value; a later value of the same key replaces an earlier one.
 type Key = (Topic, InstanceId);
 
-/// A stored value.
+/// A value with the daemon that sent it and the number of its change.
 #[derive(Debug)]
-pub(crate) struct Stored {
+pub(crate) struct StoredValue {
     pub(crate) published: Published,
-    pub(crate) learned_from: Option<Teacher>,
+    pub(crate) received_from: Option<Sender>,
     change: u64,
 }
 
-/// All latest values. Each stands in `changes` under exactly its `change`.
+/// The latest values. Each is in `changes` under exactly its `change`.
 #[derive(Debug, Default)]
 pub(crate) struct Publications {
-    values: BTreeMap<Key, Stored>,
+    values: BTreeMap<Key, StoredValue>,
     changes: BTreeMap<u64, Key>,
     last_change: u64,
-    subscribers: Vec<(Topic, Weak<RefCell<Pending>>)>,
+    subscribers: Vec<(Topic, Weak<RefCell<Unread>>)>,
 }
 
 impl Publications {
-    /// Takes a value in; true when it was news.
-    pub(crate) fn learn(&mut self, publication: Publication, from: Option<Teacher>) -> bool {
+    /// Merges a value; returns whether it was new.
+    pub(crate) fn merge(&mut self, publication: Publication, from: Option<Sender>) -> bool {
         let key = (publication.topic, publication.origin.clone());
         let order = (publication.incarnation, publication.sequence);
         let known = self.values.get(&key);
@@ -116,12 +116,12 @@
             sequence: publication.sequence,
             value: Bytes::from(publication.value),
         };
-        self.tell(publication.topic, &published);
+        self.notify(publication.topic, &published);
         self.last_change += 1;
         self.changes.insert(self.last_change, key.clone());
-        let stored = Stored {
+        let stored = StoredValue {
             published,
-            learned_from: from,
+            received_from: from,
             change: self.last_change,
         };
         self.values.insert(key, stored);
@@ -152,47 +152,50 @@
     }
 
     /// Changes after a number, oldest first.
-    pub(crate) fn changes_after(&self, change: u64) -> impl Iterator<Item = (u64, Topic, &Stored)> {
+    pub(crate) fn changes_after(
+        &self,
+        change: u64,
+    ) -> impl Iterator<Item = (u64, Topic, &StoredValue)> {
         self.changes
             .range(change.saturating_add(1)..)
             .filter_map(|(number, key)| Some((*number, key.0, self.values.get(key)?)))
     }
 
-    /// Starts a subscription with the values that are there.
+    /// Starts a subscription that begins with the values already known.
     pub(crate) fn subscribe(&mut self, topic: Topic) -> Subscription {
-        let mut pending = Pending::default();
-        for ((of, _), stored) in &self.values {
-            if *of == topic {
-                pending.put(stored.published.clone());
+        let mut unread = Unread::default();
+        for ((value_topic, _), stored) in &self.values {
+            if *value_topic == topic {
+                unread.insert(stored.published.clone());
             }
         }
-        let pending = Rc::new(RefCell::new(pending));
+        let unread = Rc::new(RefCell::new(unread));
         self.subscribers.retain(|(_, weak)| weak.strong_count() > 0);
-        self.subscribers.push((topic, Rc::downgrade(&pending)));
-        Subscription(pending)
+        self.subscribers.push((topic, Rc::downgrade(&unread)));
+        Subscription(unread)
     }
 
-    fn tell(&self, topic: Topic, published: &Published) {
-        for (of, weak) in &self.subscribers {
-            if *of != topic {
+    fn notify(&self, topic: Topic, published: &Published) {
+        for (subscribed, weak) in &self.subscribers {
+            if *subscribed != topic {
                 continue;
             }
-            if let Some(pending) = weak.upgrade() {
-                pending.borrow_mut().put(published.clone());
+            if let Some(unread) = weak.upgrade() {
+                unread.borrow_mut().insert(published.clone());
             }
         }
     }
 }
 
-/// Values that a subscriber has not read: the latest of each origin.
+/// Values that a subscriber hasn't read yet: the latest of each origin.
 #[derive(Debug, Default)]
-struct Pending {
+struct Unread {
     values: BTreeMap<InstanceId, Published>,
     waker: Option<Waker>,
 }
 
-impl Pending {
-    fn put(&mut self, published: Published) {
+impl Unread {
+    fn insert(&mut self, published: Published) {
         self.values.insert(published.origin.clone(), published);
         if let Some(waker) = self.waker.take() {
             waker.wake();
@@ -202,17 +205,17 @@
 
 /// Stream of a topic's values, own ones included; it never ends by itself.
 #[derive(Debug)]
-pub struct Subscription(Rc<RefCell<Pending>>);
+pub struct Subscription(Rc<RefCell<Unread>>);
 
 impl Stream for Subscription {
     type Item = Published;
 
     fn poll_next(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Published>> {
-        let mut pending = self.0.borrow_mut();
-        match pending.values.pop_first() {
+        let mut unread = self.0.borrow_mut();
+        match unread.values.pop_first() {
             Some((_, published)) => Poll::Ready(Some(published)),
             None => {
-                pending.waker = Some(context.waker().clone());
+                unread.waker = Some(context.waker().clone());
                 Poll::Pending
             }
         }
--- a/crates/peers/src/serve.rs
+++ b/crates/peers/src/serve.rs
@@ -1,4 +1,4 @@
-//! Answers heartbeats and calls.
+//! Tasks that answer heartbeats and calls.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,29 +8,29 @@
 use nng::{Context, Message};
 
 use crate::completion::Operation;
-use crate::gossip::{self, Reader};
+use crate::gossip::{self, Recipient};
 use crate::state::Shared;
-use crate::wire::{self, Ack, CallHead, Cursors, Ping, Refusal, Reply, Request, Wants};
+use crate::wire::{self, Ack, CallHeader, Cursors, Ping, Refusal, Reply, Request, Wants};
 
-/// Tasks that take requests; one is enough but for the moments of hand-over.
+/// Tasks that receive requests; several, as one receives nothing while it hands over a call.
 pub(crate) const RECEIVERS: usize = 4;
 
-/// Calls that may run at once.
+/// Most calls that run at once.
 const RUNNING_CALLS_LIMIT: usize = 256;
 
-/// Time for a reply to reach the connection of a peer that reads slowly.
+/// Time for a reply to be written to the connection of a peer that reads slowly.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after a failed receive, so that a lack of memory does not spin.
+/// Pause after a failed receive, so that a lack of memory doesn't cause a busy loop.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(10);
 
-/// A place that takes one request at a time.
+/// An nng context with its operation; handles one request at a time.
 struct Receiver {
     context: Context,
     operation: Operation,
 }
 
-/// Takes requests until the socket is closed.
+/// Receives and handles requests until the socket is closed.
 pub(crate) async fn run(shared: Rc<Shared>) {
     let mut idle = None;
     loop {
@@ -40,7 +40,7 @@
             continue;
         };
         match receive(&receiver).await {
-            Ok(message) => idle = take_up(&shared, receiver, &message).await,
+            Ok(message) => idle = handle(&shared, receiver, &message).await,
             Err(nng::Error::Closed) => return,
             Err(cause) => {
                 log::warn!("peers: receiving a request failed: {cause}");
@@ -56,7 +56,7 @@
     match (context, operation) {
         (Ok(context), Ok(operation)) => Some(Receiver { context, operation }),
         (Err(cause), _) | (_, Err(cause)) => {
-            log::warn!("peers: no place to receive a request: {cause}");
+            log::warn!("peers: context for requests could not be opened: {cause}");
             None
         }
     }
@@ -67,8 +67,8 @@
     receiver.operation.receive(&receiver.context).await
 }
 
-/// Answers a heartbeat here, a call in a task of its own; gives the place back when it is free.
-async fn take_up(shared: &Rc<Shared>, receiver: Receiver, message: &Message) -> Option<Receiver> {
+/// Answers a heartbeat directly, a call in its own task; returns the receiver if it is free.
+async fn handle(shared: &Rc<Shared>, receiver: Receiver, message: &Message) -> Option<Receiver> {
     match wire::decode_request(message) {
         Some((Request::Ping(ping), _)) => {
             shared
@@ -82,13 +82,13 @@
                 .update(|counters| counters.gossip.sent(bytes));
             Some(send(receiver, reply).await)
         }
-        Some((Request::Call(head), payload)) => {
+        Some((Request::Call(header), payload)) => {
             shared
                 .counters
                 .update(|counters| counters.calls.received(message.len()));
             let payload = Bytes::copy_from_slice(payload);
-            // A call must not hold up the heartbeats behind it.
-            spawn(answer_call(Rc::clone(shared), receiver, head, payload)).detach();
+            // A call must not delay the heartbeats that follow it.
+            spawn(answer_call(Rc::clone(shared), receiver, header, payload)).detach();
             None
         }
         None => {
@@ -109,7 +109,7 @@
         Err(cause) => Err(cause),
     };
     if let Err(cause) = sent {
-        log::debug!("peers: a reply was not sent: {cause}");
+        log::debug!("peers: reply could not be sent: {cause}");
     }
     receiver
 }
@@ -118,26 +118,30 @@
     if ping.to != shared.options.instance {
         return Reply::Refused(Refusal::WrongInstance);
     }
-    let teacher = (ping.from, ping.incarnation);
-    gossip::apply(shared, &teacher, ping.delta, &ping.pulses);
+    let sender = (ping.from, ping.incarnation);
+    gossip::apply(shared, &sender, ping.delta, &ping.zone_heartbeats);
     let now = Instant::now();
     let mut state = shared.state.borrow_mut();
-    let view = state.table.view();
+    let view = state.table.view_hash();
     let delta = match ping.wants {
-        Wants::OwnRecord => gossip::compose_own(&state, &shared.options.instance),
-        Wants::After(life, cursors) => {
-            let known = life == state.incarnation();
-            let mut after = if known { cursors } else { Cursors::default() };
+        Wants::OwnRecord => gossip::own_record_delta(&state, &shared.options.instance),
+        Wants::After(incarnation, cursors) => {
+            let is_current = incarnation == state.incarnation();
+            let mut after = if is_current {
+                cursors
+            } else {
+                Cursors::default()
+            };
             if view == ping.view {
-                // Both know the same members, so that none has to be told.
+                // Both have the same members, so that none needs to be sent.
                 after.members = state.table.last_change();
             }
-            let reader = Reader {
-                instance: &teacher.0,
-                incarnation: teacher.1,
+            let recipient = Recipient {
+                instance: &sender.0,
+                incarnation: sender.1,
                 after,
             };
-            gossip::compose(&mut state, &reader, now)
+            gossip::build_delta(&mut state, &recipient, now)
         }
     };
     Reply::Ack(Ack {
@@ -145,19 +149,19 @@
         view,
         stale: state.freshness.is_stale(now),
         delta,
-        pulses: state.pulses.compose(),
+        zone_heartbeats: state.zone_heartbeats.next_message(),
     })
 }
 
-async fn answer_call(shared: Rc<Shared>, receiver: Receiver, head: CallHead, payload: Bytes) {
+async fn answer_call(shared: Rc<Shared>, receiver: Receiver, header: CallHeader, payload: Bytes) {
     let running = shared.running_calls.get();
-    let reply = if head.to != shared.options.instance {
+    let reply = if header.to != shared.options.instance {
         wire::encode(&Reply::Refused(Refusal::WrongInstance), &[])
     } else if running >= RUNNING_CALLS_LIMIT {
         wire::encode(&Reply::Refused(Refusal::Busy), &[])
     } else {
         shared.running_calls.set(running + 1);
-        let answer = (shared.responder)(head.from, head.service, payload).await;
+        let answer = (shared.responder)(header.from, header.service, payload).await;
         shared.running_calls.set(shared.running_calls.get() - 1);
         wire::encode(&Reply::Answer, &answer)
     };
--- a/crates/peers/src/state.rs
+++ b/crates/peers/src/state.rs
@@ -1,9 +1,9 @@
-//! What the tasks of one daemon share.
+//! State that the tasks of one daemon share.
 //!
-//! A member's state in this view is its record's, made worse by its zone's
-//! silence and by the platform's line; only the record travels. That keeps a
-//! cut between regions from filling the links with records of death, and its
-//! healing from filling them with refutations.
+//! A member's state in this view is that of its record, or a worse one because of the
+//! silence of its zone or the platform's list. Only the record is sent to others, so that
+//! a partition between regions doesn't fill the links with records of dead members, and
+//! its end doesn't fill them with refutations.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,24 +11,24 @@
 
 use mangofront_settings::ids::{Incarnation, InstanceId};
 
-use crate::call::CallLinks;
+use crate::call::CallConnections;
 use crate::counters::LiveCounters;
 use crate::freshness::Freshness;
-use crate::gossip::Allowance;
+use crate::gossip::TokenBucket;
 use crate::member::{Member, MemberChange, MemberState, Record};
 use crate::options::PeersOptions;
 use crate::peers::{OnChange, Responder};
 use crate::publication::Publications;
-use crate::pulse::{Pulses, zone_key};
 use crate::table::{Entry, Table};
 use crate::transport::Server;
+use crate::zone_heartbeat::{ZoneHeartbeats, zone_key};
 
 /// Everything that the tasks share.
 pub(crate) struct Shared {
     pub(crate) options: PeersOptions,
     pub(crate) server: Server,
     pub(crate) state: RefCell<State>,
-    pub(crate) call_links: RefCell<CallLinks>,
+    pub(crate) call_connections: RefCell<CallConnections>,
     pub(crate) counters: LiveCounters,
     pub(crate) running_calls: Cell<usize>,
     pub(crate) on_change: OnChange,
@@ -36,18 +36,20 @@
 }
 
 impl Shared {
-    /// Tells the embedder what records changed, if any did.
-    pub(crate) fn report_news(&self) {
-        let news = {
+    /// Reports changed records to the embedder, if there are any.
+    pub(crate) fn report_new_records(&self) {
+        let has_new_records = {
             let state = self.state.borrow();
             state.table.last_change() > state.reported_through
         };
-        if news {
+        if has_new_records {
             self.report_changes();
         }
     }
 
-    /// Tells the embedder what changed, by time alone too; called without a borrow of the state.
+    /// Reports all changes to the embedder, also those due to time alone.
+    ///
+    /// The state must not be borrowed, as the embedder may call back.
     pub(crate) fn report_changes(&self) {
         let changes = self.state.borrow_mut().take_changes(Instant::now());
         for change in changes {
@@ -63,71 +65,72 @@
     }
 }
 
-/// The view and all that belongs to it.
+/// The view and the data that belongs to it.
 #[derive(Debug)]
 pub(crate) struct State {
     options: PeersOptions,
     pub(crate) own: Record,
     pub(crate) table: Table,
-    pub(crate) pulses: Pulses,
+    pub(crate) zone_heartbeats: ZoneHeartbeats,
     pub(crate) publications: Publications,
-    pub(crate) allowance: Allowance,
+    pub(crate) token_bucket: TokenBucket,
     /// Whether this daemon has links to all others.
     pub(crate) full_mesh: bool,
-    /// Change of the table up to which the embedder was told.
+    /// Last change of the table that was reported to the embedder.
     reported_through: u64,
-    /// Last answer of each neighbour, or when its link began or was forgiven.
-    contacts: BTreeMap<InstanceId, Instant>,
+    /// Last answer of each neighbour, or when its link opened or the process last resumed.
+    last_answers: BTreeMap<InstanceId, Instant>,
     pub(crate) freshness: Freshness,
 }
 
 impl State {
-    /// A view of oneself alone.
+    /// A view that contains this daemon only.
     pub(crate) fn new(options: &PeersOptions, own: Record, now: Instant) -> Self {
         let zone = zone_key(&own.region, &own.availability_zone);
         let mut table = Table::new();
-        table.learn(&options.instance, own.clone(), None, now);
+        table.merge_from(&options.instance, own.clone(), None, now);
         Self {
             options: options.clone(),
             own,
             table,
-            pulses: Pulses::new(zone, now),
+            zone_heartbeats: ZoneHeartbeats::new(zone, now),
             publications: Publications::default(),
-            allowance: Allowance::new(options.gossip_bytes_per_s, now),
+            token_bucket: TokenBucket::new(options.gossip_bytes_per_s, now),
             full_mesh: true,
             reported_through: 0,
-            contacts: BTreeMap::new(),
+            last_answers: BTreeMap::new(),
             freshness: Freshness::new(options, now),
         }
     }
 
-    /// Life of this process.
+    /// Incarnation of this process.
     pub(crate) fn incarnation(&self) -> Incarnation {
         self.own.incarnation
     }
 
-    /// Announces the own record anew, above whatever was said of it.
+    /// Announces the own record with a refutation greater than `above`.
     pub(crate) fn announce(&mut self, above: u32, now: Instant) {
         self.own.refutation = self.own.refutation.max(above).saturating_add(1);
         let own = self.own.clone();
-        self.table.learn(&self.options.instance, own, None, now);
+        self.table
+            .merge_from(&self.options.instance, own, None, now);
     }
 
     /// One member in this view.
     pub(crate) fn member(&self, instance: &InstanceId, now: Instant) -> Option<Member> {
         let entry = self.table.get(instance)?;
-        self.describe(instance, entry, now)
+        self.to_member(instance, entry, now)
     }
 
     /// All members in this view, this daemon included.
     pub(crate) fn members(&self, now: Instant) -> Vec<Member> {
         self.table
             .iter()
-            .filter_map(|(instance, entry)| self.describe(instance, entry, now))
+            .filter_map(|(instance, entry)| self.to_member(instance, entry, now))
             .collect()
     }
 
-    fn describe(&self, instance: &InstanceId, entry: &Entry, now: Instant) -> Option<Member> {
+    fn to_member(&self, instance: &InstanceId, entry: &Entry, now: Instant) -> Option<Member> {
         let state = self.state_of(entry, now);
         if let Some(record) = &entry.record {
             return Some(Member {
@@ -138,7 +141,7 @@
                 address: entry.address()?,
                 incarnation: record.incarnation,
                 state,
-                last_heard: entry.last_heard,
+                last_received: entry.last_received,
             });
         }
         let listed = entry.listed.as_ref()?;
@@ -150,7 +153,7 @@
             address: listed.address,
             incarnation: 0,
             state,
-            last_heard: None,
+            last_received: None,
         })
     }
 
@@ -159,7 +162,7 @@
         let Some(record) = &entry.record else {
             return MemberState::Suspect;
         };
-        let silent = self.pulses.silent_for(entry.zone, now);
+        let silent = self.zone_heartbeats.silent_for(entry.zone, now);
         let limit = self.options.zone_silent_after;
         let by_zone = if silent >= limit + self.options.dead_after {
             MemberState::Dead
@@ -175,7 +178,7 @@
         record.state.max(by_zone).max(by_list)
     }
 
-    /// Changes since the last call, and remembers them as told.
+    /// Changes since the last call; marks them as reported.
     fn take_changes(&mut self, now: Instant) -> Vec<MemberChange> {
         self.reported_through = self.table.last_change();
         let mut changes = Vec::new();
@@ -187,7 +190,7 @@
             if *instance == self.options.instance || entry.reported == Some(current) {
                 continue;
             }
-            if let Some(member) = self.describe(instance, entry, now) {
+            if let Some(member) = self.to_member(instance, entry, now) {
                 let previous = entry.reported;
                 changes.push(MemberChange { member, previous });
             }
@@ -202,10 +205,10 @@
 
     /// Whether this daemon may suspect a member that doesn't answer it.
     ///
-    /// Members of other zones are watched by their own zone, and by its
-    /// heartbeat as a whole; a link to them alone may be what is broken.
-    pub(crate) fn watches(&self, instance: &InstanceId) -> bool {
-        let alike = |record: &Record| {
+    /// Members of other zones are monitored within their own zone, and by the zone's
+    /// heartbeat as a whole; it may be only the link to them that is broken.
+    pub(crate) fn may_suspect(&self, instance: &InstanceId) -> bool {
+        let same_zone = |record: &Record| {
             record.region == self.own.region
                 && record.availability_zone == self.own.availability_zone
         };
@@ -213,60 +216,60 @@
             .table
             .get(instance)
             .and_then(|entry| entry.record.as_ref());
-        record.is_some_and(alike) || self.table.iter().count() <= self.options.full_mesh_limit
+        record.is_some_and(same_zone) || self.table.iter().count() <= self.options.full_mesh_limit
     }
 
-    /// Starts to wait for a neighbour's answers.
-    pub(crate) fn begin_contact(&mut self, instance: &InstanceId, now: Instant) {
-        self.contacts.insert(instance.clone(), now);
+    /// Starts to expect a neighbour's answers.
+    pub(crate) fn track_neighbour(&mut self, instance: &InstanceId, now: Instant) {
+        self.last_answers.insert(instance.clone(), now);
     }
 
-    /// Stops to wait for them.
-    pub(crate) fn end_contact(&mut self, instance: &str) {
-        self.contacts.remove(instance);
+    /// Stops expecting them.
+    pub(crate) fn untrack_neighbour(&mut self, instance: &str) {
+        self.last_answers.remove(instance);
     }
 
-    /// Notes an answer.
-    pub(crate) fn heard(&mut self, instance: &InstanceId, now: Instant) {
-        if let Some(contact) = self.contacts.get_mut(instance) {
-            *contact = now;
+    /// Records an answer.
+    pub(crate) fn record_answer(&mut self, instance: &InstanceId, now: Instant) {
+        if let Some(last_answer) = self.last_answers.get_mut(instance) {
+            *last_answer = now;
         }
         if let Some(entry) = self.table.get_mut(instance) {
-            entry.last_heard = Some(now);
+            entry.last_received = Some(now);
         }
-        self.freshness.heard(now);
+        self.freshness.record_answer(now);
     }
 
-    /// How long a neighbour has not answered.
-    pub(crate) fn unheard_for(&self, instance: &InstanceId, now: Instant) -> Duration {
-        let contact = self.contacts.get(instance).copied().unwrap_or(now);
-        now.saturating_duration_since(contact)
+    /// Time since a neighbour last answered.
+    pub(crate) fn unanswered_for(&self, instance: &InstanceId, now: Instant) -> Duration {
+        let last_answer = self.last_answers.get(instance).copied().unwrap_or(now);
+        now.saturating_duration_since(last_answer)
     }
 
-    /// Notes that the process runs; true when it was paused since the last call.
+    /// Records that the process runs; returns whether it was paused since the last call.
     pub(crate) fn tick(&mut self, now: Instant) -> bool {
         let pause = self.freshness.tick(now);
         if let Some(pause) = pause {
-            self.wake(pause, now);
+            self.resume(pause, now);
         }
         pause.is_some()
     }
 
-    fn wake(&mut self, pause: Duration, now: Instant) {
+    fn resume(&mut self, pause: Duration, now: Instant) {
         if pause >= self.options.tombstone_after / 2 {
-            // Others may have forgotten by now whom this view still calls alive.
+            // Others may have dropped the tombstones of members that this view still has as alive.
             self.table.forget_others(&self.options.instance);
-            self.freshness.forget_contact();
+            self.freshness.forget_answers();
         }
-        self.table.restart_suspicions(now);
-        self.pulses.restart_silences(now);
-        for contact in self.contacts.values_mut() {
-            *contact = now;
+        self.table.restart_suspicion_timers(now);
+        self.zone_heartbeats.restart_timers(now);
+        for last_answer in self.last_answers.values_mut() {
+            *last_answer = now;
         }
         self.announce(0, now);
     }
 
-    /// Whether the view can be relied upon.
+    /// Whether the view is reliable.
     pub(crate) fn view_fresh(&self, now: Instant) -> bool {
         let alone = self.table.iter().count() <= 1;
         self.freshness.is_fresh(alone, now)
--- a/crates/peers/src/table.rs
+++ b/crates/peers/src/table.rs
@@ -1,10 +1,10 @@
-//! Everything known of every daemon, and the order in which it was learned.
+//! The records of all daemons, and the order in which they changed.
 //!
-//! Each record that changes takes the next change number. A link remembers up
-//! to which number its peer has read, so that news crosses each link once and
-//! nothing has to be sent again while nothing changes.
+//! Each record that changes gets the next change number. A link remembers the last
+//! change number that its peer has, so that each change crosses a link once and nothing
+//! is sent again while nothing changes.
 //!
-//! Invariants: an entry with a record stands in `changes` under exactly its
+//! Invariants: an entry with a record is in `changes` under exactly its
 //! `change` number; a record is only ever replaced by a greater one, until a
 //! tombstone expires.
 
@@ -17,14 +17,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::member::{ListedPeer, MemberState, Record};
-use crate::pulse::{ZoneKey, zone_key};
 use crate::wire::ViewHash;
+use crate::zone_heartbeat::{ZoneKey, zone_key};
 
-/// Daemons remembered at most, far above any fleet: gossip can't fill the memory.
+/// Most daemons in the table; far more than any fleet has, so that gossip can't fill memory.
 const ENTRY_LIMIT: usize = 10_000;
 
-/// Who told of a change, and in which life of it.
-pub(crate) type Teacher = (InstanceId, Incarnation);
+/// The daemon that sent a change, and its incarnation.
+pub(crate) type Sender = (InstanceId, Incarnation);
 
 /// The merged records of all daemons.
 #[derive(Debug, Default)]
@@ -32,30 +32,30 @@
     entries: BTreeMap<InstanceId, Entry>,
     changes: BTreeMap<u64, InstanceId>,
     last_change: u64,
-    /// Hash of the view, until the next change.
-    view: Cell<Option<ViewHash>>,
+    /// Cached hash of the view; empty after a change.
+    view_hash: Cell<Option<ViewHash>>,
 }
 
-/// What is known of one daemon.
+/// The information on one daemon.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    /// Greatest record heard; none while it is only listed.
+    /// Greatest record received; none while the daemon is only listed.
     pub(crate) record: Option<Record>,
     /// Zone of that record.
     pub(crate) zone: ZoneKey,
-    /// The platform's line on it, while it is listed.
+    /// Entry in the platform's list, while there is one.
     pub(crate) listed: Option<ListedPeer>,
     /// Number of the record's last change.
     change: u64,
-    /// Who told of that change.
-    pub(crate) learned_from: Option<Teacher>,
+    /// The daemon that sent that change.
+    pub(crate) received_from: Option<Sender>,
     /// Last answer to this daemon, or last newer record.
-    pub(crate) last_heard: Option<Instant>,
-    /// Since when the record stands as it is.
+    pub(crate) last_received: Option<Instant>,
+    /// When the record last changed, or its timers were restarted.
     pub(crate) since: Instant,
-    /// Until when it isn't picked for a far link, as it did not answer.
+    /// Until when it isn't chosen for a link from another zone, as it didn't answer.
     pub(crate) avoid_until: Option<Instant>,
-    /// Life and state last told to the embedder.
+    /// Incarnation and state last reported to the embedder.
     pub(crate) reported: Option<(Incarnation, MemberState)>,
 }
 
@@ -66,24 +66,24 @@
             zone: 0,
             listed: None,
             change: 0,
-            learned_from: None,
-            last_heard: None,
+            received_from: None,
+            last_received: None,
             since: now,
             avoid_until: None,
             reported: None,
         }
     }
 
-    /// Where to reach it: the platform's line goes before what it says itself.
+    /// Address of the daemon: the one that the platform lists, else the one in its record.
     ///
-    /// A daemon knows the address that it listens on, the platform the one by
-    /// which others reach it, which differs behind a forwarder.
+    /// A daemon knows the address that it listens on. The platform knows the one by which
+    /// others reach it, which differs behind a forwarder.
     pub(crate) fn address(&self) -> Option<SocketAddr> {
         let listed = self.listed.as_ref().map(|listed| listed.address);
         listed.or_else(|| self.record.as_ref().map(|record| record.address))
     }
 
-    /// Whether the record says dead.
+    /// Whether the record says that the daemon is dead.
     pub(crate) fn is_dead(&self) -> bool {
         matches!(&self.record, Some(record) if record.state == MemberState::Dead)
     }
@@ -96,9 +96,9 @@
         Self::default()
     }
 
-    /// Takes a record in; true when it was news.
+    /// Merges a record; returns whether it changed the table.
     pub fn merge(&mut self, instance: &InstanceId, record: Record, now: Instant) -> bool {
-        self.learn(instance, record, None, now)
+        self.merge_from(instance, record, None, now)
     }
 
     /// The records, by instance.
@@ -108,12 +108,12 @@
             .filter_map(|(instance, entry)| Some((instance, entry.record.as_ref()?)))
     }
 
-    /// Takes a record in and remembers who told of it; true when it was news.
-    pub(crate) fn learn(
+    /// Merges a record and remembers who sent it; returns whether it changed the table.
+    pub(crate) fn merge_from(
         &mut self,
         instance: &InstanceId,
         record: Record,
-        from: Option<Teacher>,
+        from: Option<Sender>,
         now: Instant,
     ) -> bool {
         if self.entries.len() >= ENTRY_LIMIT && !self.entries.contains_key(instance) {
@@ -127,22 +127,22 @@
             return false;
         }
         if record.state.is_responsive() {
-            entry.last_heard = Some(now);
+            entry.last_received = Some(now);
             entry.avoid_until = None;
         }
         entry.zone = zone_key(&record.region, &record.availability_zone);
         entry.record = Some(record);
-        entry.learned_from = from;
+        entry.received_from = from;
         entry.since = now;
         self.changes.remove(&entry.change);
         self.last_change += 1;
         entry.change = self.last_change;
         self.changes.insert(self.last_change, instance.clone());
-        self.view.set(None);
+        self.view_hash.set(None);
         true
     }
 
-    /// Replaces the platform's lines.
+    /// Replaces the entries of the platform's list.
     pub(crate) fn set_listed(&mut self, listed: &[ListedPeer], now: Instant) {
         for entry in self.entries.values_mut() {
             entry.listed = None;
@@ -156,17 +156,22 @@
         }
     }
 
-    /// Raises a member's state in its present life; true when that changed it.
-    pub(crate) fn raise(&mut self, instance: &str, state: MemberState, now: Instant) -> bool {
+    /// Raises a member's state in its present incarnation; returns whether that changed it.
+    pub(crate) fn raise_state(&mut self, instance: &str, state: MemberState, now: Instant) -> bool {
         let Some(known) = self.get(instance).and_then(|entry| entry.record.clone()) else {
             return false;
         };
         let raised = Record { state, ..known };
-        self.learn(&instance.to_owned(), raised, None, now)
+        self.merge_from(&instance.to_owned(), raised, None, now)
     }
 
-    /// Calls those dead that were suspected for long; forgets old tombstones.
-    pub(crate) fn age(&mut self, dead_after: Duration, tombstone_after: Duration, now: Instant) {
+    /// Declares members dead that were suspect for `dead_after`; forgets expired tombstones.
+    pub(crate) fn apply_timeouts(
+        &mut self,
+        dead_after: Duration,
+        tombstone_after: Duration,
+        now: Instant,
+    ) {
         let mut dead = Vec::new();
         for (instance, entry) in &self.entries {
             let state = entry.record.as_ref().map(|record| record.state);
@@ -175,7 +180,7 @@
             }
         }
         for instance in dead {
-            self.raise(&instance, MemberState::Dead, now);
+            self.raise_state(&instance, MemberState::Dead, now);
         }
         let changes = &mut self.changes;
         self.entries.retain(|_, entry| {
@@ -188,7 +193,7 @@
         });
     }
 
-    /// Forgets every record but one's own; the platform's lines stay.
+    /// Forgets every record but the own one; the platform's list stays.
     pub(crate) fn forget_others(&mut self, own: &InstanceId) {
         for (instance, entry) in &mut self.entries {
             if instance != own && entry.record.take().is_some() {
@@ -196,11 +201,11 @@
                 entry.reported = None;
             }
         }
-        self.view.set(None);
+        self.view_hash.set(None);
     }
 
-    /// Starts every running suspicion anew: the time was not ours.
-    pub(crate) fn restart_suspicions(&mut self, now: Instant) {
+    /// Restarts the timers of all suspicions after a pause, which is no evidence against anyone.
+    pub(crate) fn restart_suspicion_timers(&mut self, now: Instant) {
         for entry in self.entries.values_mut() {
             if !entry.is_dead() {
                 entry.since = now;
@@ -213,7 +218,7 @@
         self.entries.get(instance)
     }
 
-    /// One daemon's entry, to note what doesn't travel.
+    /// One daemon's entry, to change what isn't sent to others.
     pub(crate) fn get_mut(&mut self, instance: &str) -> Option<&mut Entry> {
         self.entries.get_mut(instance)
     }
@@ -238,27 +243,27 @@
             .filter_map(|(number, instance)| Some((*number, instance, self.entries.get(instance)?)))
     }
 
-    /// Hash of who is there, in which life and state.
+    /// Hash of all members with their incarnations and states.
     ///
-    /// Dead members are left out, as tombstones expire at different times.
-    pub(crate) fn view(&self) -> ViewHash {
-        if let Some(view) = self.view.get() {
-            return view;
+    /// Dead members are excluded, as tombstones expire at different times.
+    pub(crate) fn view_hash(&self) -> ViewHash {
+        if let Some(hash) = self.view_hash.get() {
+            return hash;
         }
         let mut hash = 0;
         for (instance, record) in self.records() {
             if record.state != MemberState::Dead {
-                let life = (
+                let identity = (
                     instance,
                     record.incarnation,
                     record.refutation,
                     record.state,
                 );
-                hash ^= postcard::to_stdvec(&life).map_or(0, |bytes| xxh3_64(&bytes));
+                hash ^= postcard::to_stdvec(&identity).map_or(0, |bytes| xxh3_64(&bytes));
             }
         }
         let [a, b, c, d, ..] = hash.to_le_bytes();
-        self.view.set(Some([a, b, c, d]));
+        self.view_hash.set(Some([a, b, c, d]));
         [a, b, c, d]
     }
 }
--- a/crates/peers/src/topology.rs
+++ b/crates/peers/src/topology.rs
@@ -1,10 +1,11 @@
-//! Whom a daemon links to.
+//! Selection of the neighbours that a daemon links to, and of delegates.
 //!
-//! A small fleet is a full mesh. A larger one is a ring in each availability
-//! zone, in the order of the instances' hashes, with a link to the next few on
-//! the ring; and a few links to other zones and regions, drawn by rendezvous
-//! hashing so that they stay put while others come and go. Every member is thus
-//! watched by those before it on its ring, and any two are a few hops apart.
+//! A small fleet is a full mesh. A larger one is a ring in each availability zone, in
+//! the order of the instances' hashes, where each member links to the next few on the
+//! ring. In addition each has a few links to other zones and regions, chosen by
+//! rendezvous hashing so that they don't change when other members join or leave. Thus
+//! every member is monitored by those before it on its ring, and any two are a few hops
+//! apart.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,40 +23,41 @@
     pub(crate) region: Region,
     pub(crate) availability_zone: AvailabilityZone,
     pub(crate) address: SocketAddr,
-    /// It did not answer lately, so that a far link should go elsewhere.
+    /// Whether it failed to answer recently, so that a link to another zone avoids it.
     pub(crate) avoid: bool,
 }
 
-/// Picks the neighbours among the others.
+/// Selects the neighbours among the other members.
 pub(crate) fn neighbours(own: &PeersOptions, others: Vec<Candidate>) -> Vec<Candidate> {
     if others.len() < own.full_mesh_limit {
         return others;
     }
-    let (near, far): (Vec<_>, Vec<_>) = others.into_iter().partition(|c| in_zone(own, c));
-    let (region, beyond): (Vec<_>, Vec<_>) = far
+    let (zone, outside): (Vec<_>, Vec<_>) =
+        others.into_iter().partition(|c| is_in_own_zone(own, c));
+    let (own_region, other_regions): (Vec<_>, Vec<_>) = outside
         .into_iter()
         .filter(|c| !c.avoid)
         .partition(|c| c.region == own.region);
-    let mut picked = successors(own, near);
-    picked.extend(rendezvous(own, region, own.cross_zone_links));
-    picked.extend(rendezvous(own, beyond, own.cross_region_links));
+    let mut picked = successors(own, zone);
+    picked.extend(rendezvous(own, own_region, own.cross_zone_links));
+    picked.extend(rendezvous(own, other_regions, own.cross_region_links));
     picked
 }
 
-fn in_zone(own: &PeersOptions, other: &Candidate) -> bool {
+fn is_in_own_zone(own: &PeersOptions, other: &Candidate) -> bool {
     other.region == own.region && other.availability_zone == own.availability_zone
 }
 
-/// The next few on the zone's ring.
+/// The members that follow on the zone's ring.
 fn successors(own: &PeersOptions, mut zone: Vec<Candidate>) -> Vec<Candidate> {
     let own_hash = xxh3_64(own.instance.as_bytes());
-    // Distance on the ring; hashes before the own one wrap around.
+    // Distance on the ring; hashes below the own one wrap around.
     zone.sort_by_key(|c| xxh3_64(c.instance.as_bytes()).wrapping_sub(own_hash));
     zone.truncate(own.zone_successors);
     zone
 }
 
-/// Those that hash highest together with the own name.
+/// The `count` members whose names hash highest together with the own name.
 fn rendezvous(own: &PeersOptions, mut others: Vec<Candidate>, count: usize) -> Vec<Candidate> {
     let seed = xxh3_64(own.instance.as_bytes());
     others.sort_by_key(|c| std::cmp::Reverse(xxh3_64_with_seed(c.instance.as_bytes(), seed)));
@@ -63,8 +65,8 @@
     others
 }
 
-/// Whether the own name is among the `count` alive members of the own zone
-/// that hash highest together with `duty`; a leaving one is not.
+/// Whether the own instance is among the `count` alive members of the own zone
+/// that hash highest together with `duty`; a leaving member isn't alive.
 pub(crate) fn is_delegate(
     own: &PeersOptions,
     members: &[Member],
@@ -75,8 +77,8 @@
     chosen.iter().any(|member| member.instance == own.instance)
 }
 
-/// The `count` members of the own availability zone that take on `duty`, by
-/// rendezvous hashing.
+/// The `count` members of the own availability zone that rendezvous hashing selects for
+/// `duty`.
 pub(crate) fn delegates(
     own: &PeersOptions,
     members: &[Member],
@@ -86,10 +88,10 @@
     let of_zone = members.iter().filter(|member| {
         member.region == own.region && member.availability_zone == own.availability_zone
     });
-    highest(of_zone, duty, count, |_| 0)
+    highest_ranked(of_zone, duty, count, |_| 0)
 }
 
-/// Members of each availability zone that take on `duty`, those of highest `capacity` first.
+/// The members of each availability zone selected for `duty`, those of highest `capacity` first.
 pub(crate) fn delegates_by_zone(
     members: &[Member],
     duty: &str,
@@ -104,14 +106,17 @@
         let of_zone = members
             .iter()
             .filter(|member| member.availability_zone == *zone);
-        (zone.clone(), highest(of_zone, duty, count, &capacity))
+        (
+            zone.clone(),
+            highest_ranked(of_zone, duty, count, &capacity),
+        )
     };
     zones.into_iter().map(of_zone).collect()
 }
 
-/// The `count` alive ones of highest capacity that hash highest together with `duty`,
-/// the highest first.
-fn highest<'a>(
+/// The `count` alive members of highest capacity, ties broken by the highest hash together
+/// with `duty`; the highest first.
+fn highest_ranked<'a>(
     members: impl Iterator<Item = &'a Member>,
     duty: &str,
     count: usize,
--- a/crates/peers/src/transport.rs
+++ b/crates/peers/src/transport.rs
@@ -1,4 +1,4 @@
-//! nng sockets: the listening side and one for each peer that is dialled.
+//! nng sockets: one that listens and one for each peer that is dialled.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,16 +13,16 @@
 use crate::completion::{Completions, Operation};
 use crate::error::{LinkError, LinkStep, PeersError};
 
-/// Largest message taken, in bytes: a configuration of a megabyte and its head.
+/// Largest message accepted, in bytes: a configuration of 1 MB and its header fit in.
 const MESSAGE_LIMIT_BYTES: usize = 2 * 1024 * 1024;
 
-/// First pause before a dial is tried again; nng draws each pause at random below its bound.
+/// Bound of the first pause between dial attempts; nng draws each pause at random below it.
 const RECONNECT_MIN: Duration = Duration::from_millis(100);
 
-/// Bound that the pause doubles up to.
+/// Limit up to which the bound of the pause doubles.
 const RECONNECT_MAX: Duration = Duration::from_secs(5);
 
-/// The listening side.
+/// The listening socket.
 #[derive(Debug)]
 pub(crate) struct Server {
     socket: Socket,
@@ -32,22 +32,22 @@
 }
 
 impl Server {
-    /// Listens on an address; port 0 takes a free one.
+    /// Listens on an address; port 0 selects a free one.
     pub(crate) fn bind(listen: SocketAddr) -> Result<Self, PeersError> {
         let socket = Socket::new(Protocol::Rep0).map_err(PeersError::Socket)?;
         socket
             .set_opt::<RecvMaxSize>(MESSAGE_LIMIT_BYTES)
             .map_err(PeersError::Socket)?;
-        let refused = |cause| PeersError::Listen {
+        let listen_error = |cause| PeersError::Listen {
             address: listen,
             cause,
         };
-        let builder = ListenerBuilder::new(&socket, &url(listen)).map_err(refused)?;
-        builder.set_opt::<NoDelay>(true).map_err(refused)?;
-        builder.set_opt::<KeepAlive>(true).map_err(refused)?;
-        let listener = builder.start().map_err(|(_, cause)| refused(cause))?;
+        let builder = ListenerBuilder::new(&socket, &url(listen)).map_err(listen_error)?;
+        builder.set_opt::<NoDelay>(true).map_err(listen_error)?;
+        builder.set_opt::<KeepAlive>(true).map_err(listen_error)?;
+        let listener = builder.start().map_err(|(_, cause)| listen_error(cause))?;
         let port = match listen.port() {
-            0 => listener.get_opt::<BoundPort>().map_err(refused)?,
+            0 => listener.get_opt::<BoundPort>().map_err(listen_error)?,
             port => port,
         };
         Ok(Self {
@@ -63,28 +63,28 @@
         self.address
     }
 
-    /// A context that takes one request at a time.
+    /// A context that handles one request at a time.
     pub(crate) fn context(&self) -> nng::Result<Context> {
         Context::new(&self.socket)
     }
 
-    /// An idle operation.
+    /// A new operation that isn't running.
     pub(crate) fn operation(&self) -> nng::Result<Operation> {
         self.completions.operation()
     }
 
-    /// A connection whose results come the same way.
+    /// A connection whose results are delivered by the same task.
     pub(crate) fn dial(&self, address: SocketAddr) -> nng::Result<Connection> {
         Connection::open(address, Rc::clone(&self.completions))
     }
 
-    /// Ends every connection and frees the address.
+    /// Closes every connection and frees the address.
     pub(crate) fn close(&self) {
         self.socket.close();
     }
 }
 
-/// The dialling side, towards one peer.
+/// The dialling socket towards one peer.
 #[derive(Debug)]
 pub(crate) struct Connection {
     socket: Socket,
@@ -93,12 +93,12 @@
 }
 
 impl Connection {
-    /// Starts to dial; a request sent before the connection stands waits for it.
+    /// Starts to dial; a request sent before the connection is established waits for it.
     fn open(address: SocketAddr, completions: Rc<Completions>) -> nng::Result<Self> {
         let socket = Socket::new(Protocol::Req0)?;
         socket.set_opt::<RecvMaxSize>(MESSAGE_LIMIT_BYTES)?;
-        // Without a resend time nng never sends a request twice, also when the
-        // connection breaks: the request fails with a reset instead.
+        // Without a resend time nng never sends a request twice. If the connection breaks,
+        // the request fails with a reset instead.
         socket.set_opt::<ResendTime>(None)?;
         socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_MIN))?;
         socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_MAX))?;
@@ -113,7 +113,7 @@
         })
     }
 
-    /// One request and its reply within a time.
+    /// Sends one request and receives its reply within the timeout.
     pub(crate) async fn request(
         &self,
         request: &[u8],
@@ -144,7 +144,7 @@
     }
 }
 
-/// nng's form of an address.
+/// An address as nng's URL.
 fn url(address: SocketAddr) -> String {
     format!("tcp://{address}")
 }
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,8 +1,8 @@
 //! Messages between daemons.
 //!
-//! A message is one version byte, a postcard value and, for calls, the payload
-//! as it is. Whatever does not read whole is dropped by the caller of
-//! [`decode_request`] or [`decode_reply`] and counted.
+//! A message is one version byte, a postcard value and, for calls, the raw payload.
+//! Messages that can't be decoded completely are dropped and counted by the callers of
+//! [`decode_request`] and [`decode_reply`].
 
 use mangofront_settings::ids::{Incarnation, InstanceId};
 use serde::{Deserialize, Serialize};
@@ -11,50 +11,51 @@
 use crate::member::Record;
 use crate::publication::Topic;
 
-/// Version of the messages; a daemon drops any other.
+/// Version of the messages; a daemon drops messages of any other version.
 const VERSION: u8 = 1;
 
-/// What one daemon asks of another.
+/// A request to another daemon.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Request {
-    /// Heartbeat with news.
+    /// Heartbeat with changes.
     Ping(Ping),
     /// Call; its payload follows.
-    Call(CallHead),
+    Call(CallHeader),
 }
 
-/// What comes back.
+/// The reply to a request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Reply {
-    /// Answer to a heartbeat, with news.
+    /// Answer to a heartbeat, with changes.
     Ack(Ack),
     /// Answer to a call; its payload follows.
     Answer,
-    /// The request was not taken up.
+    /// The request was refused.
     Refused(Refusal),
 }
 
-/// Why a request was not taken up; nothing ran.
+/// Why a request was refused; nothing ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Refusal {
     /// The address belongs to another instance now.
     WrongInstance,
-    /// Too many calls run.
+    /// Too many calls are running.
     Busy,
 }
 
-/// Heartbeat of the sender and what it thinks that the receiver lacks.
+/// Heartbeat of the sender with the changes that the receiver probably lacks.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Ping {
     pub(crate) from: InstanceId,
     pub(crate) to: InstanceId,
     pub(crate) incarnation: Incarnation,
-    /// Hash of the sender's view of who is there.
+    /// Hash of the sender's view.
     pub(crate) view: ViewHash,
-    /// How much of the receiver's news the sender has.
+    /// The receiver's changes that the sender already has.
     pub(crate) wants: Wants,
     pub(crate) delta: Delta,
-    pub(crate) pulses: Vec<Pulse>,
+    #[serde(rename = "pulses")]
+    pub(crate) zone_heartbeats: Vec<ZoneHeartbeat>,
 }
 
 /// Answer to a [`Ping`].
@@ -62,42 +63,43 @@
 pub(crate) struct Ack {
     pub(crate) incarnation: Incarnation,
     pub(crate) view: ViewHash,
-    /// Whether the answerer itself woke from a pause and has not refreshed its view.
+    /// Whether the sender of the answer was paused and hasn't refreshed its view since.
     pub(crate) stale: bool,
     pub(crate) delta: Delta,
-    pub(crate) pulses: Vec<Pulse>,
+    #[serde(rename = "pulses")]
+    pub(crate) zone_heartbeats: Vec<ZoneHeartbeat>,
 }
 
-/// Hash of a view; two equal views have the same.
+/// Hash of a view; equal views have equal hashes.
 pub(crate) type ViewHash = [u8; 4];
 
-/// How far one daemon has read another's changes; valid for one life of the other.
+/// Last changes of another daemon that a daemon has; valid for one incarnation of the other.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Cursors {
     pub(crate) members: u64,
     pub(crate) publications: u64,
 }
 
-/// Which changes an answer should bring.
+/// The changes that an answer should contain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Wants {
-    /// Those after a point in the receiver's given life.
+    /// Those after a point in the given incarnation of the receiver.
     After(Incarnation, Cursors),
-    /// Only the receiver's own record: the sender tries whether it is there.
+    /// Only the receiver's own record: the sender checks whether it is reachable.
     OwnRecord,
 }
 
-/// Changes up to a point of the sender's.
+/// Changes up to a point in the sender's order.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Delta {
     pub(crate) through: Cursors,
-    /// Whether these are all the changes there are.
+    /// Whether these are all the changes that the receiver lacks.
     pub(crate) complete: bool,
     pub(crate) members: Vec<(InstanceId, Record)>,
     pub(crate) publications: Vec<Publication>,
 }
 
-/// One published value on its way.
+/// One published value as it is sent.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Publication {
     pub(crate) topic: Topic,
@@ -107,40 +109,40 @@
     pub(crate) value: Vec<u8>,
 }
 
-/// Heartbeat of a whole availability zone.
+/// Heartbeat counter of an availability zone.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub(crate) struct Pulse {
+pub(crate) struct ZoneHeartbeat {
     pub(crate) zone: u32,
     pub(crate) count: u32,
 }
 
-/// Head of a call.
+/// Header of a call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct CallHead {
+pub(crate) struct CallHeader {
     pub(crate) from: InstanceId,
     pub(crate) to: InstanceId,
     pub(crate) service: Service,
 }
 
-/// Writes a message and its payload.
+/// Encodes a message and its payload.
 pub(crate) fn encode<M: Serialize>(message: &M, payload: &[u8]) -> Option<Vec<u8>> {
     let mut bytes = postcard::to_extend(message, vec![VERSION]).ok()?;
     bytes.extend_from_slice(payload);
     Some(bytes)
 }
 
-/// Reads a request and its payload; `None` when it is malformed.
+/// Decodes a request and its payload; `None` when it is malformed.
 pub(crate) fn decode_request(bytes: &[u8]) -> Option<(Request, &[u8])> {
     let (request, payload) = decode(bytes)?;
-    let bare = matches!(request, Request::Ping(_));
-    (!bare || payload.is_empty()).then_some((request, payload))
+    let has_no_payload = matches!(request, Request::Ping(_));
+    (!has_no_payload || payload.is_empty()).then_some((request, payload))
 }
 
-/// Reads a reply and its payload; `None` when it is malformed.
+/// Decodes a reply and its payload; `None` when it is malformed.
 pub(crate) fn decode_reply(bytes: &[u8]) -> Option<(Reply, &[u8])> {
     let (reply, payload) = decode(bytes)?;
-    let bare = !matches!(reply, Reply::Answer);
-    (!bare || payload.is_empty()).then_some((reply, payload))
+    let has_no_payload = !matches!(reply, Reply::Answer);
+    (!has_no_payload || payload.is_empty()).then_some((reply, payload))
 }
 
 fn decode<'a, M: Deserialize<'a>>(bytes: &'a [u8]) -> Option<(M, &'a [u8])> {
--- a/crates/peers/tests/common/mod.rs
+++ b/crates/peers/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Members on loopback that beat fast.
+//! Members on loopback with a short heartbeat period.
 
-#![allow(dead_code, reason = "each test binary uses its part")]
+#![allow(dead_code, reason = "each test binary uses some of the functions")]
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 
 const DEADLINE: Duration = Duration::from_secs(15);
 
-/// Options of a member that beats fast.
+/// Options of a member with a short heartbeat period.
 pub fn options(instance: &str, zone: &str) -> PeersOptionsBuilder {
     let listen = "127.0.0.1:0".parse().expect("address");
     PeersOptions::builder(instance, "r1", zone, listen).heartbeat_period(PERIOD)
@@ -30,7 +30,7 @@
     Peers::start(options.build(), Rc::new(|_| ()), echo()).expect("start")
 }
 
-/// A member's line in the platform's list.
+/// A member's entry in the platform's list.
 pub fn listed(instance: &str, zone: &str, peers: &Peers) -> ListedPeer {
     ListedPeer {
         instance: instance.to_owned(),
@@ -41,14 +41,14 @@
     }
 }
 
-/// Members named by their zone and number, each told of the first alone.
-pub fn fleet(zones: &[&str], each: usize, mesh: usize) -> Vec<(String, Peers)> {
+/// Starts members named by zone and number; the list of each has the first member only.
+pub fn fleet(zones: &[&str], per_zone: usize, full_mesh_limit: usize) -> Vec<(String, Peers)> {
     let mut fleet: Vec<(String, Peers)> = Vec::new();
     let mut first = None;
-    for number in 0..each {
+    for number in 0..per_zone {
         for zone in zones {
             let name = format!("{zone}-{number}");
-            let peers = start(options(&name, zone).full_mesh_limit(mesh));
+            let peers = start(options(&name, zone).full_mesh_limit(full_mesh_limit));
             let seed = first.get_or_insert_with(|| listed(&name, zone, &peers));
             peers.set_listed(std::slice::from_ref(seed));
             fleet.push((name, peers));
@@ -82,13 +82,13 @@
     while !condition() {
         assert!(
             started.elapsed() < DEADLINE,
-            "not within {DEADLINE:?}: {what}"
+            "condition not met within {DEADLINE:?}: {what}"
         );
         compio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Counts calls of a responder that answers after a pause.
+/// A responder that counts its calls and answers each after a pause.
 pub fn slow(count: Rc<Cell<u32>>, pause: Duration) -> Responder {
     Rc::new(move |_, _, payload| {
         count.set(count.get() + 1);
--- a/crates/peers/tests/delegates.rs
+++ b/crates/peers/tests/delegates.rs
@@ -1,4 +1,4 @@
-//! A few members of each zone take on a duty for the others.
+//! Selection of the members of each zone that take on a duty for the others.
 
 mod common;
 
@@ -16,9 +16,9 @@
 }
 
 #[compio::test]
-async fn each_zone_has_its_delegates_and_replaces_those_that_go() {
+async fn each_zone_has_its_delegates_and_replaces_those_that_leave_or_die() {
     let mut ring = fleet(&["za", "zb"], 5, 4);
-    eventually("each zone has two", || {
+    eventually("each zone has two delegates", || {
         all_alive(&ring)
             && delegates(&ring, "za").len() == COUNT
             && delegates(&ring, "zb").len() == COUNT
@@ -26,11 +26,11 @@
     .await;
     let former = delegates(&ring, "za");
     let others = delegates(&ring, "zb");
-    // One leaves as planned, the other dies.
+    // One leaves as planned, the other stops without notice.
     let leaving = ring.iter().position(|(name, _)| *name == former[0]);
     ring[leaving.expect("member")].1.leave();
     ring.retain(|(name, _)| *name != former[1]);
-    eventually("two others take over", || {
+    eventually("two other members take over", || {
         let now = delegates(&ring, "za");
         now.len() == COUNT && former.iter().all(|name| !now.contains(name))
     })
@@ -39,30 +39,30 @@
 }
 
 #[compio::test]
-async fn a_member_alone_takes_on_every_duty() {
-    let alone = start(options("za-0", "za"));
-    assert!(alone.is_delegate(DUTY, 1));
-    assert!(alone.is_delegate("another", 1));
+async fn a_single_member_takes_on_every_duty() {
+    let single = start(options("za-0", "za"));
+    assert!(single.is_delegate(DUTY, 1));
+    assert!(single.is_delegate("another", 1));
 }
 
 #[compio::test]
-async fn a_member_cut_off_from_all_takes_on_every_duty() {
+async fn a_member_without_contact_takes_on_every_duty() {
     let mut ring = fleet(&["za"], 4, 8);
-    eventually("the mesh is whole", || {
+    eventually("all are alive with two delegates", || {
         all_alive(&ring) && delegates(&ring, "za").len() == COUNT
     })
     .await;
     let chosen = delegates(&ring, "za");
     ring.retain(|(name, _)| !chosen.contains(name));
     ring.truncate(1);
-    eventually("the last one takes on the duty", || {
+    eventually("the remaining member takes on the duty", || {
         delegates(&ring, "za").len() == 1
     })
     .await;
 }
 
 #[compio::test]
-async fn the_ablest_of_each_zone_take_on_a_heavy_duty() {
+async fn the_members_of_highest_capacity_are_the_delegates_of_each_zone() {
     let member = |number: usize| {
         let zone = format!("z{}", number % 2);
         let capacity_percent = if number >= 6 { 50 } else { 12 };
@@ -77,12 +77,15 @@
         })
         .collect();
     members.iter().for_each(|peers| peers.set_listed(&listed));
-    eventually("each sees the ablest of both zones", || {
-        members.iter().all(|peers| {
-            let by_zone = peers.delegates_by_capacity(DUTY, 1);
-            let ablest = by_zone.values().flatten().map(|one| one.instance.clone());
-            ablest.collect::<Vec<_>>() == ["z0-6", "z1-7"]
-        })
-    })
+    eventually(
+        "each sees the member of highest capacity of both zones",
+        || {
+            members.iter().all(|peers| {
+                let by_zone = peers.delegates_by_capacity(DUTY, 1);
+                let instances = by_zone.values().flatten().map(|one| one.instance.clone());
+                instances.collect::<Vec<_>>() == ["z0-6", "z1-7"]
+            })
+        },
+    )
     .await;
 }
--- a/crates/peers/tests/freeze.rs
+++ b/crates/peers/tests/freeze.rs
@@ -1,4 +1,4 @@
-//! A frozen process is given up, and on waking announces itself anew.
+//! A process stopped by SIGSTOP is declared dead, and announces itself again after SIGCONT.
 
 use std::io::{BufRead, BufReader};
 use std::net::TcpListener;
@@ -8,7 +8,7 @@
 
 const DEADLINE: Duration = Duration::from_secs(12);
 
-/// A process of the example, and the lines that it prints.
+/// A process of the `member` example and the lines that it prints.
 struct Process {
     child: Child,
     lines: Receiver<String>,
@@ -49,16 +49,16 @@
         assert!(status.success());
     }
 
-    /// Waits for a line that begins so.
+    /// Waits for a line with the prefix `start`.
     fn expect(&self, start: &str) {
         let deadline = Instant::now() + DEADLINE;
-        let mut passed_over = Vec::new();
+        let mut skipped = Vec::new();
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
             match self.lines.recv_timeout(left) {
                 Ok(line) if line.starts_with(start) => return,
-                Ok(line) => passed_over.push(line),
-                Err(_) => panic!("no line {start:?}, but {passed_over:#?}"),
+                Ok(line) => skipped.push(line),
+                Err(_) => panic!("no line {start:?}, but {skipped:#?}"),
             }
         }
     }
@@ -82,12 +82,12 @@
 
 #[test]
 fn a_frozen_process_dies_and_comes_back() {
-    let held: Vec<TcpListener> = (0..3)
+    let listeners: Vec<TcpListener> = (0..3)
         .map(|_| TcpListener::bind("127.0.0.1:0").expect("port"))
         .collect();
-    let port = |index: usize| held[index].local_addr().expect("address").port();
+    let port = |index: usize| listeners[index].local_addr().expect("address").port();
     let ports = [("a", port(0)), ("b", port(1)), ("c", port(2))];
-    drop(held);
+    drop(listeners);
     let [a, b, c] = ["a", "b", "c"].map(|name| Process::start(name, &ports));
     for process in [&a, &b] {
         process.expect("member c Alive");
@@ -98,7 +98,7 @@
         process.expect("member c Suspect");
         process.expect("member c Dead");
     }
-    // Past the threshold by which the own timer may be late.
+    // Longer than the lateness of the own timer that counts as a pause.
     std::thread::sleep(Duration::from_secs(1));
     c.signal("-CONT");
     c.expect("woke 1");
--- a/crates/peers/tests/gossip.rs
+++ b/crates/peers/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! What strangers and late messages can do: nothing.
+//! Forged, late and malformed messages do no damage.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use quickcheck::{Gen, QuickCheck};
 use serde::Serialize;
 
-/// The messages as they are on the wire, written down a second time.
+/// The messages as they are on the wire, defined independently of the crate.
 #[derive(Serialize)]
 enum RawRequest {
     Ping(RawPing),
@@ -42,7 +42,7 @@
     publications: Vec<()>,
 }
 
-/// Sends one message from a socket of its own; whether an answer came.
+/// Sends one message from a new socket; returns whether an answer arrived.
 fn send_raw(address: SocketAddr, bytes: &[u8]) -> bool {
     let socket = Socket::new(Protocol::Req0).expect("socket");
     socket
@@ -53,12 +53,12 @@
     socket.recv().is_ok()
 }
 
-/// Tells one member a record, as a late or lying neighbour would, and waits until it has read it.
-async fn tell(to: &str, peers: &Peers, instance: &str, record: Record) {
-    // A member heard of in the same message and nowhere else.
-    let witness = format!("witness-{to}-{}-{}", record.incarnation, record.refutation);
+/// Sends one member a late or forged record and waits until the member has applied it.
+async fn send_record(to: &str, peers: &Peers, instance: &str, record: Record) {
+    // A record that only this message contains; it shows that the message was applied.
+    let marker = format!("marker-{to}-{}-{}", record.incarnation, record.refutation);
     let ping = RawPing {
-        from: "ghost".to_owned(),
+        from: "unlisted".to_owned(),
         to: to.to_owned(),
         incarnation: 1,
         view: [0; 4],
@@ -68,7 +68,7 @@
             complete: false,
             members: vec![
                 (instance.to_owned(), record.clone()),
-                (witness.clone(), record),
+                (marker.clone(), record),
             ],
             publications: Vec::new(),
         },
@@ -76,7 +76,10 @@
     };
     let bytes = postcard::to_extend(&RawRequest::Ping(ping), vec![1]).expect("encode");
     send_raw(peers.address(), &bytes);
-    eventually("it has read it", || state_of(peers, &witness).is_some()).await;
+    eventually("the record is applied", || {
+        state_of(peers, &marker).is_some()
+    })
+    .await;
 }
 
 fn record(peers: &Peers, state: MemberState) -> Record {
@@ -92,44 +95,47 @@
 }
 
 #[compio::test]
-async fn a_living_member_refutes_its_death() {
+async fn a_live_member_refutes_a_record_of_its_death() {
     let ring = fleet(&["za"], 6, 4);
-    eventually("the ring is whole", || all_alive(&ring)).await;
-    let victim = &ring[2].1;
+    eventually("all are alive", || all_alive(&ring)).await;
+    let subject = &ring[2].1;
     for (name, peers) in [&ring[0], &ring[4]] {
-        let dead = record(victim, MemberState::Dead);
-        tell(name, peers, &ring[2].0, dead).await;
+        let dead = record(subject, MemberState::Dead);
+        send_record(name, peers, &ring[2].0, dead).await;
     }
-    eventually("it refuted", || victim.counters().refutations > 0).await;
+    eventually("it has refuted the record", || {
+        subject.counters().refutations > 0
+    })
+    .await;
     let alive = || all_see(&ring, &ring[2].0, MemberState::Alive);
-    eventually("all believe it", alive).await;
+    eventually("all see it alive", alive).await;
 }
 
 #[compio::test]
-async fn late_gossip_does_not_revive_the_dead() {
+async fn a_late_record_does_not_revive_a_dead_member() {
     let mut ring = fleet(&["za"], 5, 8);
-    eventually("the ring is whole", || all_alive(&ring)).await;
+    eventually("all are alive", || all_alive(&ring)).await;
     let (name, dropped) = ring.pop().expect("member");
     let late = record(&dropped, MemberState::Alive);
     drop(dropped);
     eventually("it is dead", || all_see(&ring, &name, MemberState::Dead)).await;
     for (to, peers) in &ring {
-        tell(to, peers, &name, late.clone()).await;
+        send_record(to, peers, &name, late.clone()).await;
         assert_eq!(state_of(peers, &name), Some(MemberState::Dead));
     }
     assert!(all_see(&ring, &name, MemberState::Dead));
-    let lifted = Record {
+    let newer = Record {
         incarnation: late.incarnation + 1,
         ..late
     };
-    tell(&ring[0].0, &ring[0].1, &name, lifted).await;
+    send_record(&ring[0].0, &ring[0].1, &name, newer).await;
     assert_ne!(state_of(&ring[0].1, &name), Some(MemberState::Dead));
 }
 
 #[compio::test]
 async fn malformed_messages_are_counted_and_dropped() {
     let ring = fleet(&["za"], 2, 8);
-    eventually("both met", || all_alive(&ring)).await;
+    eventually("both are alive", || all_alive(&ring)).await;
     let target = &ring[0].1;
     let mut random = Gen::from_size_and_seed(64, 7);
     let before = target.counters().malformed;
@@ -137,7 +143,7 @@
     messages.extend((0..10).map(|_| <Vec<u8> as quickcheck::Arbitrary>::arbitrary(&mut random)));
     let sent = messages.len() as u64;
     for mut message in messages {
-        // Any version but the present one, or an unknown kind of request.
+        // 77 isn't a known version of the messages.
         message.insert(0, 77);
         assert!(!send_raw(target.address(), &message));
     }
@@ -145,14 +151,14 @@
         target.counters().malformed >= before + sent
     })
     .await;
-    eventually("both still meet", || all_alive(&ring)).await;
+    eventually("both are still alive", || all_alive(&ring)).await;
 }
 
-/// Instance, incarnation, refutation and state, to be folded into few.
-type Told = (u8, u8, u8, u8);
+/// Instance, incarnation, refutation and state, each reduced to a few values.
+type RecordFields = (u8, u8, u8, u8);
 
-/// Merging the same records in any order, any number of times, ends the same.
-fn merges_alike(records: Vec<Told>, order: Vec<usize>) -> bool {
+/// Whether merging the same records in another order, some of them twice, gives the same table.
+fn merge_order_is_irrelevant(records: Vec<RecordFields>, order: Vec<usize>) -> bool {
     let now = std::time::Instant::now();
     let states = [
         MemberState::Alive,
@@ -175,10 +181,10 @@
             (format!("i{}", instance % 4), record)
         })
         .collect();
-    let mut straight = mangofront_peers::table::Table::new();
+    let mut in_order = mangofront_peers::table::Table::new();
     let mut shuffled = mangofront_peers::table::Table::new();
     for (instance, record) in &records {
-        straight.merge(instance, record.clone(), now);
+        in_order.merge(instance, record.clone(), now);
     }
     let picks = order.iter().map(|pick| pick % records.len().max(1));
     for pick in picks.chain((0..records.len()).rev()) {
@@ -186,12 +192,12 @@
             shuffled.merge(instance, record.clone(), now);
         }
     }
-    straight.records().eq(shuffled.records())
+    in_order.records().eq(shuffled.records())
 }
 
 #[test]
-fn the_order_of_gossip_does_not_matter() {
-    let property: fn(Vec<Told>, Vec<usize>) -> bool = merges_alike;
+fn the_order_of_merged_records_does_not_matter() {
+    let property: fn(Vec<RecordFields>, Vec<usize>) -> bool = merge_order_is_irrelevant;
     let random = Gen::from_size_and_seed(40, 20_261_202);
     QuickCheck::new()
         .rng(random)
--- a/crates/peers/tests/publish.rs
+++ b/crates/peers/tests/publish.rs
@@ -1,4 +1,4 @@
-//! Published values reach everyone, the latest ones.
+//! The latest published values reach all members.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use futures_util::{FutureExt, StreamExt};
 use mangofront_peers::{PUBLICATION_LIMIT_BYTES, PublishError, Subscription, Topic};
 
-/// Everything that a subscription has now.
+/// Reads all values that a subscription has now.
 fn drain(subscription: &mut Subscription, into: &mut BTreeMap<String, (u64, Bytes)>) {
     while let Some(Some(published)) = subscription.next().now_or_never() {
         into.insert(published.origin, (published.sequence, published.value));
@@ -18,9 +18,9 @@
 }
 
 #[compio::test]
-async fn the_latest_value_of_each_reaches_all() {
+async fn the_latest_value_of_each_member_reaches_all() {
     let ring = fleet(&["za", "zb", "zc"], 5, 4);
-    eventually("the ring is whole", || all_alive(&ring)).await;
+    eventually("all are alive", || all_alive(&ring)).await;
     for topic in [Topic::Load, Topic::Platform, Topic::Custom(3)] {
         for (name, peers) in &ring {
             peers
@@ -32,7 +32,7 @@
         }
         for (reader, peers) in &ring {
             let seen = std::cell::RefCell::new((peers.subscribe(topic), BTreeMap::new()));
-            eventually("all values are there", || {
+            eventually("all values have arrived", || {
                 let (subscription, values) = &mut *seen.borrow_mut();
                 drain(subscription, values);
                 let latest = |(name, _): &(String, _)| {
@@ -47,7 +47,7 @@
 }
 
 #[compio::test]
-async fn a_subscriber_that_reads_late_finds_one_value_an_origin() {
+async fn a_late_subscriber_reads_one_value_for_each_origin() {
     let mesh = fleet(&["za"], 2, 8);
     let mut subscription = mesh[0].1.subscribe(Topic::Load);
     for number in 0..100_u8 {
@@ -67,11 +67,11 @@
 }
 
 #[compio::test]
-async fn news_stays_within_its_allowance_and_the_last_value_arrives() {
+async fn gossip_stays_within_its_byte_limit_and_the_last_value_arrives() {
     const BURST_BYTES: u64 = 64 * 1024;
     const BYTES_PER_S: u32 = 20_000;
-    // Names, hashes and beats of one heartbeat, answer or framing.
-    const HEAD_BYTES: u64 = 200;
+    // Names, hashes, zone heartbeats and framing of one heartbeat or answer.
+    const HEADER_BYTES: u64 = 200;
     let options = |name| common::options(name, "za").gossip_bytes_per_s(BYTES_PER_S);
     let publisher = common::start(options("publisher"));
     let reader = common::start(options("reader"));
@@ -93,13 +93,13 @@
         BURST_BYTES + started.elapsed().as_millis() as u64 * u64::from(BYTES_PER_S) / 1000;
     assert!(
         gossip.bytes_sent > BURST_BYTES,
-        "too little was offered: {gossip:?}"
+        "too few bytes were published: {gossip:?}"
     );
-    let heads = gossip.messages_sent * HEAD_BYTES;
-    assert!(gossip.bytes_sent <= allowed + heads, "{gossip:?}");
+    let headers = gossip.messages_sent * HEADER_BYTES;
+    assert!(gossip.bytes_sent <= allowed + headers, "{gossip:?}");
     let subscription = std::cell::RefCell::new(reader.subscribe(Topic::Custom(7)));
     let seen = std::cell::RefCell::new(BTreeMap::new());
-    eventually("the last value is there", || {
+    eventually("the last value has arrived", || {
         drain(&mut subscription.borrow_mut(), &mut seen.borrow_mut());
         seen.borrow()
             .get("publisher")
