--- a/crates/once/examples/embed.rs
+++ b/crates/once/examples/embed.rs
@@ -1,6 +1,6 @@
-//! Smallest use without the daemon: one process that is its own only voter.
+//! Minimal use without the daemon: one process that is its own only voter.
 //!
-//! `cargo run -p mangofront-once --example embed`
+//! `cargo run -p mangofront-once --example embed-once`
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,10 +13,10 @@
 };
 use mangofront_settings::ids::InstanceId;
 
-/// There is nobody else to call.
-struct Nobody;
+/// A transport without peers.
+struct NoPeers;
 
-impl Transport for Nobody {
+impl Transport for NoPeers {
     fn call(
         &self,
         to: &InstanceId,
@@ -32,9 +32,9 @@
     }
 }
 
-/// Sends one order of toner.
+/// Sends an order for toner.
 async fn send(permit: RunPermit) -> RunOutcome {
-    // Whatever connects first would go here; nothing is awaited after `begin`.
+    // A real client connects here; nothing is awaited between `begin` and the send.
     let _begun = match permit.begin() {
         Ok(begun) => begun,
         Err(error) => {
@@ -53,7 +53,7 @@
 #[compio::main]
 async fn main() {
     let options = OnceOptions::new("entry-1".to_owned(), 1);
-    let once = Once::new(options, Rc::new(Nobody));
+    let once = Once::new(options, Rc::new(NoPeers));
     once.set_view(&VoterView {
         list_revision: 1,
         listed: vec![ListedInstance {
--- a/crates/once/examples/refused_share.rs
+++ b/crates/once/examples/refused_share.rs
@@ -1,9 +1,10 @@
-//! Share of orders that end without an answer, by kind of key and by fault.
+//! Measures the share of orders that end without an answer, by kind of key and by
+//! fault schedule.
 //!
-//! Six daemons in three zones run under a fixed schedule of faults. A caller
-//! sends each order to a random daemon and, while it has no answer, up to two
-//! times more to others. The time scale is about 1:20: calls between daemons
-//! time out after 25 ms instead of 500 ms.
+//! Six daemons in three availability zones run under a fixed schedule of faults. A
+//! caller sends each order to a random daemon and, while it has no answer, retries
+//! up to two times at random daemons. The time scale is about 1:20: calls between
+//! daemons time out after 25 ms instead of 500 ms.
 //!
 //! `cargo run --release -p mangofront-once --example refused_share`
 
@@ -25,14 +26,15 @@
 
 const DAEMONS: usize = 6;
 const SEEDS: [u64; 3] = [1, 2, 3];
-const LASTS: Duration = Duration::from_secs(10);
-const BETWEEN_ORDERS: Duration = Duration::from_millis(10);
-const BETWEEN_FAULTS: Duration = Duration::from_millis(500);
-const DOWN: Duration = Duration::from_millis(50);
+const RUN_DURATION: Duration = Duration::from_secs(10);
+const ORDER_INTERVAL: Duration = Duration::from_millis(10);
+const FAULT_INTERVAL: Duration = Duration::from_millis(500);
+const DOWNTIME: Duration = Duration::from_millis(50);
 const ATTEMPTS: usize = 3;
-const LONGEST_THOUGHT_MS: u64 = 200;
+/// Longest time between the issue of a key and its first use.
+const MAX_KEY_AGE_MS: u64 = 200;
 
-/// Kind of key, and what a graceful shutdown does.
+/// Kind of key, and whether a planned restart hands records over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Scheme {
@@ -49,16 +51,17 @@
     Scheme::PlainUuidV7,
 ];
 
-/// What goes on meanwhile; every half second for the middle three.
+/// Schedule of faults; the restarts and the changes of partitions happen every
+/// half second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Schedule {
     Quiet,
     PlannedRestarts,
     Kills,
-    /// One zone is cut off for half of the time.
+    /// One availability zone is isolated for half of the time.
     Cuts,
-    /// All daemons are killed at once, once.
+    /// All daemons are killed at the same time, once in a run.
     WholeFleetKilled,
 }
 
@@ -77,7 +80,7 @@
     answered_at_first_attempt: u32,
     not_run: u32,
     unknown: u32,
-    /// Of the unknown ones, those that the service had run.
+    /// Orders counted as `unknown` that the service had run.
     unknown_but_ran: u32,
     no_daemon_took_it: u32,
     keys_run_twice: u32,
@@ -96,11 +99,11 @@
 async fn main() {
     let mut rows = Vec::new();
     for schedule in SCHEDULES {
-        let plays = SCHEMES.map(|scheme| async move {
-            let of_seeds = SEEDS.map(|seed| play(schedule, scheme, seed));
-            row(schedule, scheme, &join_all(of_seeds).await)
+        let results = SCHEMES.map(|scheme| async move {
+            let results = SEEDS.map(|seed| run(schedule, scheme, seed));
+            row(schedule, scheme, &join_all(results).await)
         });
-        rows.extend(join_all(plays).await);
+        rows.extend(join_all(results).await);
     }
     match serde_json::to_string_pretty(&rows) {
         Ok(text) => println!("{text}"),
@@ -108,9 +111,9 @@
     }
 }
 
-fn row(schedule: Schedule, scheme: Scheme, of_seeds: &[Shares]) -> Row {
+fn row(schedule: Schedule, scheme: Scheme, results: &[Shares]) -> Row {
     let mut sum = Shares::default();
-    for shares in of_seeds {
+    for shares in results {
         sum.orders += shares.orders;
         sum.answered += shares.answered;
         sum.answered_at_first_attempt += shares.answered_at_first_attempt;
@@ -130,13 +133,13 @@
     }
 }
 
-async fn play(schedule: Schedule, scheme: Scheme, seed: u64) -> Shares {
+async fn run(schedule: Schedule, scheme: Scheme, seed: u64) -> Shares {
     let fleet = Fleet::started(DAEMONS, seed).await;
-    let faults = spawn(disturb(fleet.clone(), schedule, scheme));
+    let faults = spawn(inject_faults(fleet.clone(), schedule, scheme));
     let shares = Rc::new(RefCell::new(Shares::default()));
     let mut random = StdRng::seed_from_u64(seed);
     let mut callers: Vec<JoinHandle<()>> = Vec::new();
-    let end = Instant::now() + LASTS;
+    let end = Instant::now() + RUN_DURATION;
     for number in 0.. {
         if Instant::now() >= end {
             break;
@@ -147,7 +150,7 @@
             shares: Rc::clone(&shares),
         };
         callers.push(spawn(caller.order(scheme, number)));
-        sleep(BETWEEN_ORDERS).await;
+        sleep(ORDER_INTERVAL).await;
     }
     for caller in callers {
         let _ = caller.await;
@@ -164,15 +167,15 @@
 
 impl Caller {
     async fn order(mut self, scheme: Scheme, number: u32) {
-        let thought_ms = self.random.random_range(0..LONGEST_THOUGHT_MS);
+        let key_age_ms = self.random.random_range(0..MAX_KEY_AGE_MS);
         let key = match scheme {
             Scheme::Plain => Some(format!("plain-{number}")),
-            Scheme::PlainUuidV7 => Some(fleet::time_key()),
+            Scheme::PlainUuidV7 => Some(fleet::uuid_v7_key()),
             Scheme::Minted | Scheme::MintedWithoutHandOver => self.mint(),
         };
-        sleep(Duration::from_millis(thought_ms)).await;
+        sleep(Duration::from_millis(key_age_ms)).await;
         let Some(key) = key else {
-            self.note(None, 0, "");
+            self.record(None, 0, "");
             return;
         };
         let mut last = None;
@@ -185,15 +188,15 @@
             );
             last = decision.or(last);
             if answered {
-                self.note(last, attempt, &key);
+                self.record(last, attempt, &key);
                 return;
             }
             sleep(Duration::from_millis(self.random.random_range(20..200))).await;
         }
-        self.note(last, ATTEMPTS, &key);
+        self.record(last, ATTEMPTS, &key);
     }
 
-    /// Key of the first daemon that issues one.
+    /// Key of the first daemon, from a random one on, that issues a key.
     fn mint(&mut self) -> Option<String> {
         let first = self.random.random_range(0..DAEMONS);
         let others = (0..DAEMONS).map(|step| (first + step) % DAEMONS);
@@ -201,7 +204,7 @@
         daemons.find_map(|once| once.mint().ok())
     }
 
-    fn note(&self, decision: Option<Decision>, attempt: usize, key: &str) {
+    fn record(&self, decision: Option<Decision>, attempt: usize, key: &str) {
         let runs = self.fleet.runs(key);
         let mut shares = self.shares.borrow_mut();
         shares.orders += 1;
@@ -221,10 +224,10 @@
     }
 }
 
-async fn disturb(fleet: Fleet, schedule: Schedule, scheme: Scheme) {
+async fn inject_faults(fleet: Fleet, schedule: Schedule, scheme: Scheme) {
     let all: Vec<usize> = (0..DAEMONS).collect();
     for step in 0.. {
-        sleep(BETWEEN_FAULTS).await;
+        sleep(FAULT_INTERVAL).await;
         let number = step % DAEMONS;
         match schedule {
             Schedule::Quiet => {}
@@ -239,22 +242,22 @@
             Schedule::Kills => restart(&fleet, &all, number).await,
             Schedule::Cuts => {
                 let zone = (step / 2) % 3;
-                let cut_off = if step % 2 == 0 {
+                let isolated = if step % 2 == 0 {
                     vec![zone, zone + 3]
                 } else {
                     Vec::new()
                 };
-                fleet.cut(&cut_off);
+                fleet.partition(&isolated);
             }
             Schedule::WholeFleetKilled if step == 9 => {
                 for number in &all {
                     fleet.kill(*number);
                 }
-                sleep(DOWN).await;
+                sleep(DOWNTIME).await;
                 for number in &all {
                     fleet.start(*number);
                 }
-                fleet.list(1, &all, &all);
+                fleet.set_list(1, &all, &all);
             }
             Schedule::WholeFleetKilled => {}
         }
@@ -263,7 +266,7 @@
 
 async fn restart(fleet: &Fleet, all: &[usize], number: usize) {
     fleet.kill(number);
-    sleep(DOWN).await;
+    sleep(DOWNTIME).await;
     fleet.start(number);
-    fleet.list(1, all, &[number]);
+    fleet.set_list(1, all, &[number]);
 }
--- a/crates/once/src/claims.rs
+++ b/crates/once/src/claims.rs
@@ -1,4 +1,4 @@
-//! The claims that this process makes, and the permits they lead to.
+//! The claims of this process and the permits to run that they lead to.
 //!
 //! A claim's phase only moves forward:
 //!
@@ -8,9 +8,8 @@
 //! ```
 //!
 //! Invariant *at most once*: a claim is permitted at most once, begun at most
-//! once, and neither after its release. A release after the beginning is for a
-//! run that reports that it sent no byte. A breach is refused, counted and
-//! logged.
+//! once, and neither after its release. A begun claim is released only when its
+//! run reports that it sent no byte. A violation is refused, counted and logged.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -35,10 +34,10 @@
 #[derive(Debug)]
 struct Claim {
     phase: Phase,
-    made: Instant,
+    opened_at: Instant,
 }
 
-/// Claims of this process by counter.
+/// Claims of this process, by counter.
 #[derive(Debug)]
 pub(crate) struct Claims {
     process: Process,
@@ -48,9 +47,9 @@
     violations: u64,
 }
 
-/// The at-most-once invariant was about to be broken.
+/// A phase transition that would violate the at-most-once invariant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a claim may not do this in its phase")]
+#[error("the claim's phase does not allow this transition")]
 pub(crate) struct Violation;
 
 impl Claims {
@@ -69,19 +68,25 @@
     }
 
     pub(crate) fn open_count(&self) -> usize {
-        let open = |claim: &&Claim| !claim.phase.is_over();
+        let open = |claim: &&Claim| !claim.phase.has_ended();
         self.table.values().filter(open).count()
     }
 
-    /// Opens a claim; `None` when there are too many.
+    /// Opens a claim; `None` when too many claims are kept and none has ended.
     pub(crate) fn open(&mut self, now: Instant) -> Option<ClaimId> {
-        if self.table.len() >= self.max_records && !self.forget_oldest_over() {
+        if self.table.len() >= self.max_records && !self.evict_oldest_ended() {
             return None;
         }
         let counter = self.next;
         self.next += 1;
         let phase = Phase::Gathering;
-        self.table.insert(counter, Claim { phase, made: now });
+        self.table.insert(
+            counter,
+            Claim {
+                phase,
+                opened_at: now,
+            },
+        );
         Some(ClaimId {
             process: self.process.clone(),
             counter,
@@ -89,22 +94,22 @@
     }
 
     pub(crate) fn permit(&mut self, counter: u64) -> Result<(), Violation> {
-        self.step(counter, |phase| match phase {
+        self.transition(counter, |phase| match phase {
             Phase::Gathering => Some(Phase::Permitted),
             _ => None,
         })
     }
 
     fn begin(&mut self, counter: u64) -> Result<(), Violation> {
-        self.step(counter, |phase| match phase {
+        self.transition(counter, |phase| match phase {
             Phase::Permitted => Some(Phase::Begun),
             _ => None,
         })
     }
 
-    /// The claim will never run.
+    /// Releases the claim: it will never run.
     pub(crate) fn release(&mut self, counter: u64) -> Result<(), Violation> {
-        self.step(counter, |phase| match phase {
+        self.transition(counter, |phase| match phase {
             Phase::Gathering | Phase::Permitted | Phase::Begun => Some(Phase::Released),
             Phase::Released => Some(Phase::Released),
             Phase::Settled(_) => None,
@@ -112,18 +117,20 @@
     }
 
     pub(crate) fn settle(&mut self, counter: u64, record: Record) -> Result<(), Violation> {
-        self.step(counter, |phase| match phase {
-            // A run that can't tell counts as one, whether it said so or not.
+        self.transition(counter, |phase| match phase {
+            // A run of unknown outcome counts as run, even if it never called `begin`.
             Phase::Permitted | Phase::Begun => Some(Phase::Settled(record)),
             _ => None,
         })
     }
 
-    /// Notes an answer of a run that never asked whether it may begin.
-    pub(crate) fn note_answer(&mut self, counter: u64) {
+    /// Counts a violation when a run was answered without having begun.
+    pub(crate) fn check_begun(&mut self, counter: u64) {
         if !self.has_begun(counter) {
             self.violations += 1;
-            log::error!("once: invariant at_most_once: claim {counter} ran without beginning");
+            log::error!(
+                "once: invariant at_most_once: claim {counter} was answered without having begun"
+            );
         }
     }
 
@@ -132,13 +139,13 @@
         matches!(claim.map(|claim| &claim.phase), Some(Phase::Begun))
     }
 
-    pub(crate) fn is_over(&self, counter: u64) -> bool {
+    pub(crate) fn has_ended(&self, counter: u64) -> bool {
         let claim = self.table.get(&counter);
-        claim.is_none_or(|claim| claim.phase.is_over())
+        claim.is_none_or(|claim| claim.phase.has_ended())
     }
 
-    /// This process's word on `claim`.
-    pub(crate) fn answer(&self, claim: &ClaimId) -> ClaimAnswer {
+    /// Status of `claim`, for another process that asks.
+    pub(crate) fn status_of(&self, claim: &ClaimId) -> ClaimAnswer {
         if claim.process != self.process {
             return ClaimAnswer::Forgotten;
         }
@@ -151,22 +158,22 @@
         }
     }
 
-    pub(crate) fn forget_expired(&mut self, now: Instant, keep: Duration) {
+    pub(crate) fn forget_expired(&mut self, now: Instant, retention: Duration) {
         self.table.retain(|_, claim| {
-            !claim.phase.is_over() || now.saturating_duration_since(claim.made) < keep
+            !claim.phase.has_ended() || now.saturating_duration_since(claim.opened_at) < retention
         });
     }
 
-    fn forget_oldest_over(&mut self) -> bool {
+    fn evict_oldest_ended(&mut self) -> bool {
         let mut claims = self.table.iter();
-        let oldest = claims.find(|(_, claim)| claim.phase.is_over());
+        let oldest = claims.find(|(_, claim)| claim.phase.has_ended());
         let Some(counter) = oldest.map(|(counter, _)| *counter) else {
             return false;
         };
         self.table.remove(&counter).is_some()
     }
 
-    fn step(
+    fn transition(
         &mut self,
         counter: u64,
         to: impl FnOnce(&Phase) -> Option<Phase>,
@@ -179,20 +186,21 @@
             return Ok(());
         }
         self.violations += 1;
-        log::error!("once: invariant at_most_once: claim {counter} refused a step");
+        log::error!("once: invariant at_most_once: claim {counter} refused a phase transition");
         Err(Violation)
     }
 }
 
 impl Phase {
-    fn is_over(&self) -> bool {
+    fn has_ended(&self) -> bool {
         matches!(self, Self::Released | Self::Settled(_))
     }
 }
 
-/// Right to run one order, made by this crate alone, once for each claim.
+/// Permission to run one order; only this crate creates it, once for each claim.
 ///
-/// It has to be turned into [`Begun`] immediately before the first byte.
+/// [`RunPermit::begin`] turns it into [`Begun`] immediately before the first byte
+/// is sent.
 #[derive(Debug)]
 pub struct RunPermit {
     pub(crate) claims: Rc<RefCell<Claims>>,
@@ -200,34 +208,35 @@
     pub(crate) start_before: Instant,
 }
 
-/// Proof that a run was allowed to begin; whoever sends a non-repeatable order
-/// asks for one.
+/// Proof that a run was allowed to begin; required to send a non-repeatable
+/// order.
 #[derive(Debug)]
 pub struct Begun(());
 
-/// The run may no longer begin; report [`crate::RunOutcome::NotStarted`].
+/// The run may no longer begin; its closure reports
+/// [`crate::RunOutcome::NotStarted`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum BeginError {
-    /// The claim is older than the limit for its start.
+    /// More than the limit for the start of a run passed since the claim opened.
     #[error("too much time passed since the claim")]
     TooLate,
-    /// The claim was released, or its call given up.
+    /// The claim was released or its call was cancelled.
     #[error("the claim was released")]
     Released,
 }
 
 impl RunPermit {
-    /// Begins the run. To be called immediately before the first byte is sent,
-    /// with nothing awaited in between.
+    /// Begins the run. Must be called immediately before the first byte is sent,
+    /// with no await point in between.
     ///
     /// # Errors
-    /// [`BeginError`] when no byte may be sent any more.
+    /// [`BeginError`] when the order must not be sent any more.
     pub fn begin(self) -> Result<Begun, BeginError> {
         if Instant::now() > self.start_before {
             return Err(BeginError::TooLate);
         }
         let mut claims = self.claims.borrow_mut();
-        if claims.is_over(self.counter) {
+        if claims.has_ended(self.counter) {
             return Err(BeginError::Released);
         }
         let begun = claims.begin(self.counter);
--- a/crates/once/src/core.rs
+++ b/crates/once/src/core.rs
@@ -1,4 +1,4 @@
-//! State of one process and its calls to others.
+//! State of one process and its calls to other daemons.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,31 +11,32 @@
 use mangofront_settings::published::Idempotency;
 
 use crate::claims::Claims;
+use crate::key_issuer::{Archives, KeyIssuer, Retention};
 use crate::message::{Reply, Request, encode};
-use crate::mint::{Archives, Keep, Mint};
 use crate::options::OnceOptions;
-use crate::seat::Seat;
 use crate::status::Counters;
 use crate::transport::{Transport, TransportError};
 use crate::view::{VoterSet, VoterView};
+use crate::voter::VoterState;
 use crate::voting_rules::VotingRules;
 
-const SUSPECT_FOR: Duration = Duration::from_secs(1);
-const SEND_ATTEMPTS: u32 = 5;
-const SEND_PAUSE: Duration = Duration::from_millis(100);
+/// Time for which a peer that did not answer is called last.
+const SUSPECT_DURATION: Duration = Duration::from_secs(1);
+const NOTIFY_ATTEMPTS: u32 = 5;
+const NOTIFY_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 pub(crate) struct Core {
     pub(crate) options: OnceOptions,
-    pub(crate) exchange: Rc<dyn Transport>,
+    pub(crate) transport: Rc<dyn Transport>,
     pub(crate) claims: Rc<RefCell<Claims>>,
     pub(crate) state: RefCell<State>,
-    /// Messages about ended claims that are still on their way.
-    pub(crate) unsent: Cell<usize>,
+    /// Notifications about ended claims that are still being sent.
+    pub(crate) pending_notifications: Cell<usize>,
 }
 
 pub(crate) struct State {
-    pub(crate) seat: Seat,
-    pub(crate) mint: Mint,
+    pub(crate) voter: VoterState,
+    pub(crate) key_issuer: KeyIssuer,
     pub(crate) archives: Archives,
     pub(crate) listed: Vec<InstanceId>,
     pub(crate) rules: Rules,
@@ -44,8 +45,8 @@
     pub(crate) stopping: bool,
 }
 
-/// Published rules, on their safe side while they change: a key may be used for
-/// the shortest window that was in force and is remembered for the longest.
+/// Published rules. While they change, the safe bound applies: a key may be used
+/// for the shortest window that was in force, and is recorded for the longest.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Rules {
     shortest_window: Duration,
@@ -79,11 +80,11 @@
 }
 
 impl Core {
-    pub(crate) fn new(options: OnceOptions, exchange: Rc<dyn Transport>) -> Self {
+    pub(crate) fn new(options: OnceOptions, transport: Rc<dyn Transport>) -> Self {
         let claims = Claims::new(options.process.clone(), options.max_records);
         let state = State {
-            seat: Seat::new(&options),
-            mint: Mint::new(&options),
+            voter: VoterState::new(&options),
+            key_issuer: KeyIssuer::new(&options),
             archives: Archives::default(),
             listed: Vec::new(),
             rules: Rules::new(),
@@ -93,45 +94,47 @@
         };
         Self {
             options,
-            exchange,
+            transport,
             claims: Rc::new(RefCell::new(claims)),
             state: RefCell::new(state),
-            unsent: Cell::new(0),
+            pending_notifications: Cell::new(0),
         }
     }
 
-    /// Establishes the newest set where its rules allow.
+    /// Establishes the newest set if the rules allow it without synchronising.
     ///
-    /// Comes before anything that may bring a newer set, which would ask for
-    /// records that this one did not need.
-    pub(crate) fn establish_by_rule(&self) {
+    /// Must be called before a newer set may be adopted, which would then require
+    /// records that this set did not need.
+    pub(crate) fn establish_without_synchronising(&self) {
         let rules = self.voting_rules();
         let mut state = self.state.borrow_mut();
-        state.seat.establish_by_rule(rules, Instant::now());
+        state
+            .voter
+            .establish_without_synchronising(rules, Instant::now());
     }
 
     pub(crate) fn set_rules(&self, rules: &Idempotency) {
         self.state.borrow_mut().rules.set(rules);
-        self.establish_by_rule();
+        self.establish_without_synchronising();
     }
 
     pub(crate) fn set_view(&self, view: &VoterView) {
-        self.establish_by_rule();
+        self.establish_without_synchronising();
         let mut state = self.state.borrow_mut();
         let listed = view.listed.iter();
         state.listed = listed.map(|voter| voter.instance.clone()).collect();
-        state.seat.adopt(&VoterSet::of(view));
+        state.voter.adopt(&VoterSet::of(view));
     }
 
-    pub(crate) fn keep(&self) -> Keep {
+    pub(crate) fn retention(&self) -> Retention {
         let rules = self.state.borrow().rules;
-        self.keep_under(rules)
+        self.retention_under(rules)
     }
 
-    fn keep_under(&self, rules: Rules) -> Keep {
-        // The margin also covers the way of a claim and the start of its run.
+    fn retention_under(&self, rules: Rules) -> Retention {
+        // The margin also covers the delivery of a claim and the start of its run.
         let margin = self.options.clock_margin + self.options.run_start_limit;
-        Keep {
+        Retention {
             window: rules.shortest_window,
             record: rules.longest_window + margin,
         }
@@ -140,57 +143,57 @@
     pub(crate) fn voting_rules(&self) -> VotingRules {
         let rules = self.state.borrow().rules;
         VotingRules {
-            keep: self.keep_under(rules).record,
+            record_retention: self.retention_under(rules).record,
             clock_margin: self.options.clock_margin,
             first_start_unix_ms: rules.first_start_unix_ms,
         }
     }
 
-    pub(crate) fn is_me(&self, instance: &str) -> bool {
+    pub(crate) fn is_self(&self, instance: &str) -> bool {
         self.options.process.instance == instance
     }
 
-    pub(crate) fn count(&self, count: impl FnOnce(&mut Counters)) {
-        count(&mut self.state.borrow_mut().counters);
+    pub(crate) fn update_counters(&self, update: impl FnOnce(&mut Counters)) {
+        update(&mut self.state.borrow_mut().counters);
     }
 
-    /// Calls `to`, which may be this process itself.
+    /// Sends `request` to `to`, which may be this process itself.
     pub(crate) async fn call(
         self: &Rc<Self>,
         to: &InstanceId,
         request: &Request,
     ) -> Result<Reply, TransportError> {
-        if self.is_me(to) {
-            return Ok(self.answer(to, request.clone()));
+        if self.is_self(to) {
+            return Ok(self.handle(to, request.clone()));
         }
         let timeout = self.options.call_timeout;
         let bytes = Bytes::from(encode(request));
-        let call = self.exchange.call(to, bytes, timeout);
+        let call = self.transport.call(to, bytes, timeout);
         let called = compio::time::timeout(timeout, call).await;
         let failed = |reason: String| TransportError {
             step: "call",
             peer: to.clone(),
             reason,
         };
-        let answered = called.unwrap_or_else(|_elapsed| Err(failed("timeout".to_owned())));
-        let read = answered.and_then(|bytes| {
+        let replied = called.unwrap_or_else(|_elapsed| Err(failed("timeout".to_owned())));
+        let decoded = replied.and_then(|bytes| {
             postcard::from_bytes(&bytes).map_err(|error| failed(error.to_string()))
         });
-        self.note_reach(to, read.is_ok());
-        read
+        self.record_reachability(to, decoded.is_ok());
+        decoded
     }
 
-    fn note_reach(&self, peer: &InstanceId, reached: bool) {
+    fn record_reachability(&self, peer: &InstanceId, reached: bool) {
         let mut state = self.state.borrow_mut();
         if reached {
             state.suspects.remove(peer);
         } else {
-            let until = Instant::now() + SUSPECT_FOR;
+            let until = Instant::now() + SUSPECT_DURATION;
             state.suspects.insert(peer.clone(), until);
         }
     }
 
-    /// Puts peers that did not answer lately last.
+    /// Moves peers that recently did not answer to the end.
     pub(crate) fn suspects_last(&self, mut peers: Vec<InstanceId>) -> Vec<InstanceId> {
         let now = Instant::now();
         let state = self.state.borrow();
@@ -200,37 +203,40 @@
         peers
     }
 
-    /// Tells `peers` something until each has heard it, within few attempts.
-    pub(crate) fn tell(self: &Rc<Self>, peers: &[InstanceId], request: &Request) {
+    /// Sends `request` to each of `peers` in the background, with up to
+    /// [`NOTIFY_ATTEMPTS`] attempts.
+    pub(crate) fn notify(self: &Rc<Self>, peers: &[InstanceId], request: &Request) {
         for peer in peers {
-            if self.is_me(peer) {
-                self.answer(peer, request.clone());
+            if self.is_self(peer) {
+                self.handle(peer, request.clone());
                 continue;
             }
             let core = Rc::clone(self);
             let peer = peer.clone();
             let request = request.clone();
-            self.unsent.set(self.unsent.get() + 1);
+            self.pending_notifications
+                .set(self.pending_notifications.get() + 1);
             spawn(async move {
-                core.tell_one(&peer, &request).await;
-                core.unsent.set(core.unsent.get() - 1);
+                core.notify_peer(&peer, &request).await;
+                core.pending_notifications
+                    .set(core.pending_notifications.get() - 1);
             });
         }
     }
 
-    async fn tell_one(self: &Rc<Self>, peer: &InstanceId, request: &Request) {
-        for attempt in 1..=SEND_ATTEMPTS {
+    async fn notify_peer(self: &Rc<Self>, peer: &InstanceId, request: &Request) {
+        for attempt in 1..=NOTIFY_ATTEMPTS {
             if self.call(peer, request).await.is_ok() {
                 return;
             }
-            compio::time::sleep(SEND_PAUSE * attempt).await;
+            compio::time::sleep(NOTIFY_RETRY_PAUSE * attempt).await;
         }
-        log::warn!("once: {peer} did not hear what became of a claim");
+        log::warn!("once: could not notify {peer} of the end of a claim");
     }
 }
 
-/// Runs `task` beside the caller; without a runtime, as in the teardown of a
-/// process, it is dropped.
+/// Spawns `task`; without a runtime, as during the teardown of a process, drops
+/// it.
 pub(crate) fn spawn(task: impl Future<Output = ()> + 'static) {
     if let Some(runtime) = Runtime::try_current() {
         runtime.spawn(task).detach();
--- a/crates/once/src/execute.rs
+++ b/crates/once/src/execute.rs
@@ -1,4 +1,4 @@
-//! The way of one order, from the call to its decision.
+//! Execution of one order: claims its key, runs it and records the outcome.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -7,19 +7,20 @@
 
 use crate::claims::RunPermit;
 use crate::core::Core;
-use crate::gather::{Gathered, Subject};
+use crate::gather::{ClaimOutcome, OrderIdentity};
 use crate::key::{Fingerprint, MintedKey, OrderKey};
 use crate::open_claim::OpenClaim;
 use crate::outcome::{Answer, Decision, NotRunReason, Record, RunOutcome, UnknownReason};
 
+/// Time after which a caller is told to retry.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// One order that may not repeat.
+/// An order that must not be repeated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Customer that sent it.
+    /// Organisation that sent it.
     pub organisation: String,
-    /// Idempotency key that came with it.
+    /// Idempotency key that was sent with it.
     pub key: String,
     /// Digest of the request.
     pub fingerprint: Fingerprint,
@@ -37,41 +38,45 @@
         F: Future<Output = RunOutcome>,
     {
         let stopping = self.state.borrow().stopping;
-        let won = if stopping {
+        let claimed = if stopping {
             Err(unknown(UnknownReason::Stopping))
         } else {
-            self.win(order, deadline).await
+            self.acquire(order, deadline).await
         };
-        let decision = match won {
+        let decision = match claimed {
             Ok(claim) => self.run(claim, deadline, run).await,
             Err(decision) => decision,
         };
-        self.count(|counters| counters.note(&decision));
+        self.update_counters(|counters| counters.record(&decision));
         decision
     }
 
-    /// Claims the key, again and again where that makes sense.
-    async fn win(self: &Rc<Self>, order: Order, deadline: Instant) -> Result<OpenClaim, Decision> {
+    /// Claims the key, with retries while they may help.
+    async fn acquire(
+        self: &Rc<Self>,
+        order: Order,
+        deadline: Instant,
+    ) -> Result<OpenClaim, Decision> {
         let minted = MintedKey::parse(&order.key);
-        let subject = Subject::of(order, minted.is_some());
-        let patient_until = deadline.min(Instant::now() + self.options.patience);
+        let identity = OrderIdentity::of(order, minted.is_some());
+        let claim_deadline = deadline.min(Instant::now() + self.options.claim_timeout);
         loop {
-            let gathering = async {
+            let attempt = async {
                 match &minted {
-                    Some(key) => self.gather_minted(&subject, key).await,
-                    None => self.gather_plain(&subject).await,
+                    Some(key) => self.claim_minted(&identity, key).await,
+                    None => self.claim_plain(&identity).await,
                 }
             };
-            let gathered = compio::time::timeout_at(deadline, gathering).await;
-            let late = UnknownReason::NoMajority("the deadline passed".to_owned());
-            let (why, until) = match gathered.unwrap_or(Gathered::Lost(late)) {
-                Gathered::Won(claim) => return Ok(claim),
-                Gathered::Ran(record) => return Err(replay(record)),
-                Gathered::NotRun(reason) => return Err(not_run(reason)),
-                Gathered::Fault(error) => return Err(Decision::Failed(error)),
-                Gathered::Lost(why) => return Err(unknown(why)),
-                Gathered::Busy(why) => (why, deadline),
-                Gathered::Short(why) => (why, patient_until),
+            let outcome = compio::time::timeout_at(deadline, attempt).await;
+            let timed_out = UnknownReason::NoMajority("the deadline passed".to_owned());
+            let (why, until) = match outcome.unwrap_or(ClaimOutcome::GiveUp(timed_out)) {
+                ClaimOutcome::Won(claim) => return Ok(claim),
+                ClaimOutcome::AlreadyRan(record) => return Err(replay(record)),
+                ClaimOutcome::NotRun(reason) => return Err(not_run(reason)),
+                ClaimOutcome::Rejected(error) => return Err(Decision::Failed(error)),
+                ClaimOutcome::GiveUp(why) => return Err(unknown(why)),
+                ClaimOutcome::Busy(why) => (why, deadline),
+                ClaimOutcome::Retry(why) => (why, claim_deadline),
             };
             let pause = self
                 .options
@@ -84,7 +89,7 @@
         }
     }
 
-    /// Runs the order under a won claim.
+    /// Runs the order under the claim that holds its key.
     async fn run<R, F>(self: &Rc<Self>, claim: OpenClaim, deadline: Instant, run: R) -> Decision
     where
         R: FnOnce(RunPermit) -> F,
@@ -97,11 +102,11 @@
         let permit = RunPermit {
             claims: Rc::clone(&self.claims),
             counter,
-            start_before: claim.made + self.options.run_start_limit,
+            start_before: claim.opened_at + self.options.run_start_limit,
         };
         let ended = compio::time::timeout_at(deadline, run(permit)).await;
         match ended {
-            Ok(RunOutcome::Answered(answer)) => self.answered(&claim, answer),
+            Ok(RunOutcome::Answered(answer)) => self.complete(&claim, answer),
             Ok(RunOutcome::NotStarted { reason }) => {
                 claim.release();
                 not_run(NotRunReason::NotStarted(reason))
@@ -126,14 +131,14 @@
         }
     }
 
-    fn answered(&self, claim: &OpenClaim, answer: Answer) -> Decision {
-        self.claims.borrow_mut().note_answer(claim.id.counter);
+    fn complete(&self, claim: &OpenClaim, answer: Answer) -> Decision {
+        self.claims.borrow_mut().check_begun(claim.id.counter);
         claim.settle(&Record::of(&answer, self.options.max_answer_bytes));
         Decision::Answer(answer)
     }
 }
 
-impl Subject {
+impl OrderIdentity {
     fn of(order: Order, minted: bool) -> Self {
         let Order {
             organisation,
@@ -141,7 +146,7 @@
             fingerprint,
         } = order;
         if minted {
-            let fingerprint = fingerprint.within(&organisation);
+            let fingerprint = fingerprint.with_organisation(&organisation);
             let organisation = String::new();
             let order = OrderKey { organisation, key };
             return Self { order, fingerprint };
--- a/crates/once/src/fence.rs
+++ b/crates/once/src/fence.rs
@@ -1,8 +1,8 @@
-//! Fences between the lives of a voter, and the grants that count despite them.
+//! Fences against grants of former incarnations of a voter.
 //!
-//! A voter that gave its records to a later life of another tells so with each
-//! of its grants. Then no grant of an earlier life of that other counts beside
-//! its own.
+//! A voter that gave its records to a later incarnation of another voter lists
+//! that incarnation in each of its grants. Together with such a grant, none of an
+//! earlier incarnation of that other voter counts.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +10,23 @@
 
 use crate::ids::Process;
 use crate::message::Grant;
-use crate::options::Weakness;
+use crate::options::DisabledSafeguard;
 
-/// Latest lives of other voters that this one has given its records to.
+/// Latest incarnations of other voters that this one has given its records to.
 ///
-/// Invariant: an incarnation in it never falls.
+/// Invariant: the incarnation of an instance never decreases.
 #[derive(Debug, Default)]
 pub(crate) struct Fences(BTreeMap<InstanceId, Incarnation>);
 
 impl Fences {
-    /// Notes that `reader` gets records.
+    /// Fences the incarnations of the instance of `reader` before this one.
     pub(crate) fn raise(&mut self, reader: &Process) {
         let fence = self.0.entry(reader.instance.clone()).or_default();
         *fence = reader.incarnation.max(*fence);
     }
 
-    /// The fences as a grant tells them.
-    pub(crate) fn told(&self) -> Vec<(InstanceId, Incarnation)> {
+    /// The fences as they are sent with a grant.
+    pub(crate) fn to_vec(&self) -> Vec<(InstanceId, Incarnation)> {
         let fences = self.0.iter();
         fences
             .map(|(instance, incarnation)| (instance.clone(), *incarnation))
@@ -34,10 +34,9 @@
     }
 }
 
-/// Grants that count together: none of an earlier life of a voter that one of
-/// the others has already given its records to.
-pub(crate) fn counted(grants: &[Grant], weakness: Weakness) -> usize {
-    if weakness == Weakness::NoIncarnationFence {
+/// Counts the grants that none of the others fences, see the module.
+pub(crate) fn count_valid(grants: &[Grant], disabled: DisabledSafeguard) -> usize {
+    if disabled == DisabledSafeguard::IncarnationFence {
         return grants.len();
     }
     let fenced = |voter: &Process| {
--- a/crates/once/src/gather.rs
+++ b/crates/once/src/gather.rs
@@ -1,8 +1,8 @@
-//! How a claim gathers its right to run.
+//! Claims on plain keys.
 //!
-//! A plain key's claim goes to the key's first reachable voter alone, so that
-//! claims on one key mostly meet there, and then to the others at once. Minted
-//! keys are claimed in [`crate::gather_minted`].
+//! A claim is first sent to the key's first reachable voter alone, so that
+//! concurrent claims on one key mostly conflict there, and then to all other
+//! voters in parallel. Minted keys are claimed in [`crate::gather_minted`].
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -12,144 +12,150 @@
 use mangofront_settings::ids::InstanceId;
 
 use crate::core::Core;
-use crate::fence::counted;
+use crate::fence::count_valid;
 use crate::ids::ClaimId;
 use crate::key::{Fingerprint, OrderKey};
 use crate::message::{ClaimAnswer, Decider, Grant, Holding, Reply, Request};
 use crate::open_claim::OpenClaim;
-use crate::options::Weakness;
+use crate::options::DisabledSafeguard;
 use crate::outcome::{NotRunReason, OrderError, Record, UnknownReason};
 use crate::transport::TransportError;
-use crate::view::{VoterSet, rendezvous};
+use crate::view::{VoterSet, rendezvous_order};
 
-/// What gathering came to.
-pub(crate) enum Gathered {
-    /// The claim alone may run the key.
+/// Result of claiming a key.
+pub(crate) enum ClaimOutcome {
+    /// Only this claim may run the key.
     Won(OpenClaim),
-    /// The key ran; this is what it came to.
-    Ran(Record),
-    /// The key never ran.
+    /// The key ran, with this outcome.
+    AlreadyRan(Record),
+    /// The key has not run.
     NotRun(NotRunReason),
-    /// The call is at fault.
-    Fault(OrderError),
-    /// Another claim runs or gathers; asking again makes sense until the deadline.
+    /// The call itself is invalid.
+    Rejected(OrderError),
+    /// Another claim runs or gathers votes; retry until the deadline.
     Busy(UnknownReason),
-    /// Neither; a new attempt makes sense for a while.
-    Short(UnknownReason),
-    /// Neither, and a new attempt makes no sense.
-    Lost(UnknownReason),
+    /// Undecided; retry until [`crate::OnceOptions::claim_timeout`] has passed.
+    Retry(UnknownReason),
+    /// Undecided, and a retry would not help.
+    GiveUp(UnknownReason),
 }
 
-/// The order on whose behalf a claim is made.
+/// Key and fingerprint of the order for which a claim is made.
 #[derive(Debug, Clone)]
-pub(crate) struct Subject {
+pub(crate) struct OrderIdentity {
     pub(crate) order: OrderKey,
     pub(crate) fingerprint: Fingerprint,
 }
 
-/// What a holding means for another claim.
-pub(crate) enum Held {
-    End(Gathered),
-    /// Its claims can't be settled; the key may still be won elsewhere.
+/// Result of querying the claims that hold a key.
+pub(crate) enum HolderResolution {
+    Resolved(ClaimOutcome),
+    /// No holder's outcome is known; other voters may still grant the key.
     Orphaned(String),
 }
 
 impl Core {
     pub(crate) fn open(
         self: &Rc<Self>,
-        subject: &Subject,
+        identity: &OrderIdentity,
         decider: Decider,
-        keepers: Vec<InstanceId>,
+        outcome_holders: Vec<InstanceId>,
     ) -> Option<OpenClaim> {
-        let made = Instant::now();
-        let id = self.claims.borrow_mut().open(made)?;
+        let opened_at = Instant::now();
+        let id = self.claims.borrow_mut().open(opened_at)?;
         Some(OpenClaim {
             core: Rc::clone(self),
             id,
-            made,
-            order: subject.order.clone(),
+            opened_at,
+            order: identity.order.clone(),
             decider,
-            fingerprint: subject.fingerprint,
-            asked: Vec::new(),
-            keepers,
+            fingerprint: identity.fingerprint,
+            contacted: Vec::new(),
+            outcome_holders,
         })
     }
 
     /// Claims a plain key.
-    pub(crate) async fn gather_plain(self: &Rc<Self>, subject: &Subject) -> Gathered {
-        let Some(set) = self.state.borrow().seat.view().cloned() else {
-            return Gathered::Short(no_majority("no list of instances yet"));
+    pub(crate) async fn claim_plain(self: &Rc<Self>, identity: &OrderIdentity) -> ClaimOutcome {
+        let Some(set) = self.state.borrow().voter.view().cloned() else {
+            return ClaimOutcome::Retry(no_majority("no list of instances yet"));
         };
-        let Some(mut claim) = self.open(subject, Decider::Voters, set.members.clone()) else {
-            return Gathered::Short(no_majority("too many claims are open"));
+        let Some(mut claim) = self.open(identity, Decider::Voters, set.members.clone()) else {
+            return ClaimOutcome::Retry(no_majority("too many claims are open"));
         };
         let request = Request::Claim {
-            order: subject.order.clone(),
-            fingerprint: subject.fingerprint,
+            order: identity.order.clone(),
+            fingerprint: identity.fingerprint,
             claim: claim.id.clone(),
             set: Some(set.clone()),
         };
-        let mut tally = Tally::new(&set, self.options.weakness);
-        let order = rendezvous(&set.members, &subject.order.key);
-        let mut voters = self.suspects_last(order).into_iter();
+        let mut tally = Tally::new(&set, self.options.disabled);
+        let ranked = rendezvous_order(&set.members, &identity.order.key);
+        let mut voters = self.suspects_last(ranked).into_iter();
         for voter in voters.by_ref() {
-            claim.asked.push(voter.clone());
+            claim.contacted.push(voter.clone());
             let replied = self.call(&voter, &request).await;
             let reached = replied.is_ok();
-            if let Some(end) = self.absorb(subject, &mut tally, voter, replied).await {
-                return end;
+            if let Some(outcome) = self
+                .record_reply(identity, &mut tally, voter, replied)
+                .await
+            {
+                return outcome;
             }
             if reached {
                 break;
             }
         }
-        let rest: Vec<InstanceId> = voters.collect();
-        claim.asked.extend(rest.iter().cloned());
-        let mut calls: FuturesUnordered<_> = rest
+        let remaining: Vec<InstanceId> = voters.collect();
+        claim.contacted.extend(remaining.iter().cloned());
+        let mut calls: FuturesUnordered<_> = remaining
             .into_iter()
             .map(|voter| async {
                 let replied = self.call(&voter, &request).await;
                 (voter, replied)
             })
             .collect();
-        // Also without hope for a majority: a voter may know what the key came to.
+        // Continues even if no majority is possible: a voter may know the outcome.
         while !tally.is_won() {
             let Some((voter, replied)) = calls.next().await else {
                 break;
             };
-            if let Some(end) = self.absorb(subject, &mut tally, voter, replied).await {
-                return end;
+            if let Some(outcome) = self
+                .record_reply(identity, &mut tally, voter, replied)
+                .await
+            {
+                return outcome;
             }
         }
         drop(calls);
         if tally.is_won() {
-            return Gathered::Won(claim);
+            return ClaimOutcome::Won(claim);
         }
-        Gathered::Short(UnknownReason::NoMajority(tally.refusals.join("; ")))
+        ClaimOutcome::Retry(UnknownReason::NoMajority(tally.refusals.join("; ")))
     }
 
-    /// Counts one voter's reply; an end when it decides the matter.
-    async fn absorb(
+    /// Counts one voter's reply; returns an outcome if the reply decides the claim.
+    async fn record_reply(
         self: &Rc<Self>,
-        subject: &Subject,
+        identity: &OrderIdentity,
         tally: &mut Tally,
         voter: InstanceId,
         replied: Result<Reply, TransportError>,
-    ) -> Option<Gathered> {
+    ) -> Option<ClaimOutcome> {
         let refusal = match replied {
             Ok(Reply::Granted(grant)) if grant.voter.instance == voter => {
                 tally.grants.push(grant);
                 return None;
             }
             Ok(Reply::Held(holding)) => match self
-                .look_into(subject, Decider::Voters, &voter, holding)
+                .resolve_holders(identity, Decider::Voters, &voter, holding)
                 .await
             {
-                Held::End(end) => return Some(end),
-                Held::Orphaned(why) => why,
+                HolderResolution::Resolved(outcome) => return Some(outcome),
+                HolderResolution::Orphaned(why) => why,
             },
             Ok(Reply::OtherSet(set)) => {
-                self.state.borrow_mut().seat.adopt(&set);
+                self.state.borrow_mut().voter.adopt(&set);
                 "another set of voters".to_owned()
             }
             Ok(Reply::NotReady) => "not ready".to_owned(),
@@ -161,28 +167,32 @@
         None
     }
 
-    /// Finds out about the claims that hold a key.
-    pub(crate) async fn look_into(
+    /// Queries the claims that hold a key.
+    pub(crate) async fn resolve_holders(
         self: &Rc<Self>,
-        subject: &Subject,
+        identity: &OrderIdentity,
         decider: Decider,
         voter: &InstanceId,
         holding: Holding,
-    ) -> Held {
-        if holding.fingerprint != subject.fingerprint {
-            return Held::End(Gathered::Fault(OrderError::Conflict));
+    ) -> HolderResolution {
+        if holding.fingerprint != identity.fingerprint {
+            return HolderResolution::Resolved(ClaimOutcome::Rejected(OrderError::Conflict));
         }
         if let Some(record) = holding.record {
-            return Held::End(Gathered::Ran(record));
+            return HolderResolution::Resolved(ClaimOutcome::AlreadyRan(record));
         }
         let mut reasons = Vec::new();
         for claim in holding.holders {
-            match self.ask(subject, decider, &claim, voter).await {
+            match self.query_claim(identity, decider, &claim, voter).await {
                 Ok(ClaimAnswer::Busy) => {
                     let runner = claim.process.instance;
-                    return Held::End(Gathered::Busy(UnknownReason::StillRunning(runner)));
+                    return HolderResolution::Resolved(ClaimOutcome::Busy(
+                        UnknownReason::StillRunning(runner),
+                    ));
+                }
+                Ok(ClaimAnswer::Settled(record)) => {
+                    return HolderResolution::Resolved(ClaimOutcome::AlreadyRan(record));
                 }
-                Ok(ClaimAnswer::Settled(record)) => return Held::End(Gathered::Ran(record)),
                 Ok(ClaimAnswer::Released) => reasons.push("released, not yet dropped".to_owned()),
                 Ok(ClaimAnswer::Forgotten) => {
                     reasons.push(format!(
@@ -193,18 +203,18 @@
                 Err(error) => reasons.push(error.to_string()),
             }
         }
-        Held::Orphaned(reasons.join(", "))
+        HolderResolution::Orphaned(reasons.join(", "))
     }
 
-    async fn ask(
+    async fn query_claim(
         self: &Rc<Self>,
-        subject: &Subject,
+        identity: &OrderIdentity,
         decider: Decider,
         claim: &ClaimId,
         voter: &InstanceId,
     ) -> Result<ClaimAnswer, TransportError> {
         let request = Request::Ask {
-            order: subject.order.clone(),
+            order: identity.order.clone(),
             decider,
             claim: claim.clone(),
             voter: voter.clone(),
@@ -227,26 +237,26 @@
 /// Votes for one claim.
 struct Tally {
     majority: usize,
-    weakness: Weakness,
+    disabled: DisabledSafeguard,
     grants: Vec<Grant>,
     refusals: Vec<String>,
 }
 
 impl Tally {
-    fn new(set: &VoterSet, weakness: Weakness) -> Self {
-        let majority = match weakness {
-            Weakness::MajorityOfOne => 1,
+    fn new(set: &VoterSet, disabled: DisabledSafeguard) -> Self {
+        let majority = match disabled {
+            DisabledSafeguard::Majority => 1,
             _ => set.majority(),
         };
         Self {
             majority,
-            weakness,
+            disabled,
             grants: Vec::new(),
             refusals: Vec::new(),
         }
     }
 
     fn is_won(&self) -> bool {
-        counted(&self.grants, self.weakness) >= self.majority
+        count_valid(&self.grants, self.disabled) >= self.majority
     }
 }
--- a/crates/once/src/gather_minted.rs
+++ b/crates/once/src/gather_minted.rs
@@ -1,100 +1,106 @@
-//! How a claim on a minted key gathers its right to run.
+//! Claims on minted keys.
 //!
-//! It goes to the key's home, or, when that is gone, to those that may keep the
-//! home's records.
+//! A claim is sent to the key's home or, when that is gone, to the instances that
+//! may have the home's archive.
 //!
-//! A home that stopped deciding, or whose key is too old, says that it never
-//! granted the key and never will. From then on the key is decided by the voters
-//! like any other: whoever runs it has that word, so every run of it needs a
-//! majority, and votes are kept for longer than that word is given.
+//! A home that no longer grants keys, or whose key is too old, replies that it
+//! never granted the key and never will. The voters then decide about the key like
+//! about a plain one. From then on every run of the key needs a majority, as every
+//! claim gets this reply first, and votes are kept for longer than it is given.
 
 use std::rc::Rc;
 
 use mangofront_settings::ids::InstanceId;
 
 use crate::core::Core;
-use crate::gather::{Gathered, Held, Subject, no_majority};
+use crate::gather::{ClaimOutcome, HolderResolution, OrderIdentity, no_majority};
 use crate::key::MintedKey;
 use crate::message::{Decider, Reply, Request};
 use crate::outcome::{NotRunReason, OrderError, UnknownReason};
-use crate::view::{MAX_VOTERS, rendezvous};
+use crate::view::{MAX_VOTERS, rendezvous_order};
 
 impl Core {
     /// Claims a minted key.
-    pub(crate) async fn gather_minted(
+    pub(crate) async fn claim_minted(
         self: &Rc<Self>,
-        subject: &Subject,
+        identity: &OrderIdentity,
         key: &MintedKey,
-    ) -> Gathered {
+    ) -> ClaimOutcome {
         let home = key.home.instance.clone();
-        let Some(mut claim) = self.open(subject, Decider::Home, vec![home.clone()]) else {
-            return Gathered::Short(no_majority("too many claims are open"));
+        let Some(mut claim) = self.open(identity, Decider::Home, vec![home.clone()]) else {
+            return ClaimOutcome::Retry(no_majority("too many claims are open"));
         };
         let request = Request::Claim {
-            order: subject.order.clone(),
-            fingerprint: subject.fingerprint,
+            order: identity.order.clone(),
+            fingerprint: identity.fingerprint,
             claim: claim.id.clone(),
             set: None,
         };
-        claim.asked.push(home.clone());
+        claim.contacted.push(home.clone());
         let replied = self.call(&home, &request).await;
         let why = match replied {
-            Ok(Reply::Granted(grant)) if grant.voter == key.home => return Gathered::Won(claim),
+            Ok(Reply::Granted(grant)) if grant.voter == key.home => {
+                return ClaimOutcome::Won(claim);
+            }
             Ok(Reply::HomeGone) => UnknownReason::HomeGone(home.clone()),
-            Ok(reply) => return self.minted_end(subject, &home, reply).await,
+            Ok(reply) => return self.resolve_minted_reply(identity, &home, reply).await,
             Err(error) => UnknownReason::HomeUnreachable(error.to_string()),
         };
-        if let Some(end) = self.gather_from_archives(subject, key, &request).await {
-            return end;
+        if let Some(outcome) = self.claim_from_archives(identity, key, &request).await {
+            return outcome;
         }
         match why {
-            UnknownReason::HomeGone(_) => Gathered::Lost(why),
-            _ => Gathered::Short(why),
+            UnknownReason::HomeGone(_) => ClaimOutcome::GiveUp(why),
+            _ => ClaimOutcome::Retry(why),
         }
     }
 
-    async fn gather_from_archives(
+    async fn claim_from_archives(
         self: &Rc<Self>,
-        subject: &Subject,
+        identity: &OrderIdentity,
         key: &MintedKey,
         request: &Request,
-    ) -> Option<Gathered> {
-        for keeper in self.archive_keepers(&key.home.instance, key.home.incarnation) {
-            match self.call(&keeper, request).await {
+    ) -> Option<ClaimOutcome> {
+        for holder in self.archive_holders(&key.home.instance, key.home.incarnation) {
+            match self.call(&holder, request).await {
                 Ok(Reply::HomeGone | Reply::Granted(_)) | Err(_) => {}
-                Ok(reply) => return Some(self.minted_end(subject, &keeper, reply).await),
+                Ok(reply) => {
+                    return Some(self.resolve_minted_reply(identity, &holder, reply).await);
+                }
             }
         }
         None
     }
 
-    /// Who keeps the records of a process that handed over.
-    pub(crate) fn archive_keepers(&self, instance: &str, incarnation: u64) -> Vec<InstanceId> {
+    /// Instances that have the archive of a process that handed over.
+    pub(crate) fn archive_holders(&self, instance: &str, incarnation: u64) -> Vec<InstanceId> {
         let listed = self.state.borrow().listed.clone();
-        let order = rendezvous(&listed, &format!("{instance}.{incarnation}"));
-        let mut keepers = self.suspects_last(order);
-        keepers.truncate(MAX_VOTERS);
-        keepers
+        let ranked = rendezvous_order(&listed, &format!("{instance}.{incarnation}"));
+        let mut holders = self.suspects_last(ranked);
+        holders.truncate(MAX_VOTERS);
+        holders
     }
 
-    async fn minted_end(
+    async fn resolve_minted_reply(
         self: &Rc<Self>,
-        subject: &Subject,
-        teller: &InstanceId,
+        identity: &OrderIdentity,
+        responder: &InstanceId,
         reply: Reply,
-    ) -> Gathered {
+    ) -> ClaimOutcome {
         match reply {
             Reply::Held(holding) => match self
-                .look_into(subject, Decider::Home, teller, holding)
+                .resolve_holders(identity, Decider::Home, responder, holding)
                 .await
             {
-                Held::End(end) => end,
-                Held::Orphaned(why) => Gathered::Short(UnknownReason::StillRunning(why)),
+                HolderResolution::Resolved(outcome) => outcome,
+                HolderResolution::Orphaned(why) => {
+                    ClaimOutcome::Retry(UnknownReason::StillRunning(why))
+                }
             },
-            Reply::Retired => self.gather_plain(subject).await,
-            Reply::Full => Gathered::NotRun(NotRunReason::Full),
-            Reply::NeverMinted => Gathered::Fault(OrderError::NeverMinted),
-            other => Gathered::Short(UnknownReason::HomeUnreachable(format!("{other:?}"))),
+            Reply::Retired => self.claim_plain(identity).await,
+            Reply::Full => ClaimOutcome::NotRun(NotRunReason::Full),
+            Reply::NeverMinted => ClaimOutcome::Rejected(OrderError::NeverMinted),
+            other => ClaimOutcome::Retry(UnknownReason::HomeUnreachable(format!("{other:?}"))),
         }
     }
 }
--- a/crates/once/src/ballots.rs
+++ b/crates/once/src/grant_table.rs
@@ -1,9 +1,8 @@
-//! Bounded memory of which claim holds which key.
+//! Bounded table of the claims that hold keys.
 //!
 //! Invariant: an entry that names a claim keeps it until the claim's own process
-//! releases it or the entry expires, and nothing is evicted for room. So of two
-//! claims on a key that ask the same memory, at most one is ever granted within
-//! the lifetime of an entry.
+//! releases it or the entry expires. No entry is evicted to make room. So a table
+//! grants a key to at most one claim within the lifetime of an entry.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -15,7 +14,7 @@
 use crate::options::{duration_ms, expiry};
 use crate::outcome::Record;
 
-/// What a claim on a key came to.
+/// Result of a claim on a key.
 #[derive(Debug)]
 pub(crate) enum Vote {
     Granted,
@@ -29,16 +28,16 @@
     expires: Instant,
 }
 
-/// Claims by key.
+/// Entries by key.
 #[derive(Debug)]
-pub(crate) struct Ballots<K> {
+pub(crate) struct GrantTable<K> {
     entries: BTreeMap<K, Entry>,
     answers_bytes: usize,
     max_records: usize,
     max_answers_bytes: usize,
 }
 
-impl<K: Ord + Clone> Ballots<K> {
+impl<K: Ord + Clone> GrantTable<K> {
     pub(crate) fn new(max_records: usize, max_answers_bytes: usize) -> Self {
         Self {
             entries: BTreeMap::new(),
@@ -56,23 +55,23 @@
         self.answers_bytes
     }
 
-    /// Who holds `key`, when anyone does.
+    /// The unexpired holding of `key`; `None` when no claim holds it.
     pub(crate) fn holding(&mut self, key: &K, now: Instant) -> Option<Holding> {
         self.forget_expired(key, now);
         self.entries.get(key).map(|entry| entry.holding.clone())
     }
 
-    /// Grants `key` to `claim`, or tells who holds it.
+    /// Grants `key` to `claim`, or returns its current holding.
     pub(crate) fn vote(
         &mut self,
         key: &K,
         fingerprint: Fingerprint,
         claim: &ClaimId,
         now: Instant,
-        keep: Duration,
+        retention: Duration,
     ) -> Vote {
         if let Some(holding) = self.holding(key, now) {
-            return if holding.is_only(claim) && holding.fingerprint == fingerprint {
+            return if holding.is_held_only_by(claim) && holding.fingerprint == fingerprint {
                 Vote::Granted
             } else {
                 Vote::Held(holding)
@@ -86,12 +85,12 @@
             holders: vec![claim.clone()],
             record: None,
         };
-        let expires = expiry(now, keep);
+        let expires = expiry(now, retention);
         self.entries.insert(key.clone(), Entry { holding, expires });
         Vote::Granted
     }
 
-    /// Drops `claim` from `key`, on its own process's word.
+    /// Removes `claim` from the holders of `key`, as its own process requested.
     pub(crate) fn release(&mut self, key: &K, claim: &ClaimId) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
@@ -105,35 +104,35 @@
         }
     }
 
-    /// Drops `claim` from `key`, but keeps the entry.
-    pub(crate) fn disown(&mut self, key: &K, claim: &ClaimId) {
+    /// Removes `claim` from the holders of `key`, but keeps the entry.
+    pub(crate) fn remove_holder(&mut self, key: &K, claim: &ClaimId) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.holding.holders.retain(|holder| holder != claim);
         }
     }
 
-    /// Keeps what a claim came to.
-    pub(crate) fn settle(&mut self, key: &K, holding: Holding, now: Instant, keep: Duration) {
+    /// Stores the outcome of a claim.
+    pub(crate) fn settle(&mut self, key: &K, holding: Holding, now: Instant, retention: Duration) {
         let sent = SentEntry {
             holding,
-            expires_in_ms: duration_ms(keep),
+            expires_in_ms: duration_ms(retention),
         };
         self.merge(key, sent, now);
     }
 
-    /// Adds what another process remembers.
+    /// Merges an entry of another process into the table.
     pub(crate) fn merge(&mut self, key: &K, sent: SentEntry, now: Instant) {
         self.forget_expired(key, now);
         let expires = expiry(now, Duration::from_millis(sent.expires_in_ms));
         let mut holding = sent.holding;
-        holding.record = holding.record.map(|record| self.fitting(record));
+        holding.record = holding.record.map(|record| self.limit_size(record));
         if let Some(entry) = self.entries.get_mut(key) {
             entry.expires = entry.expires.max(expires);
-            let gained = entry.holding.absorb(holding);
-            self.answers_bytes += gained;
+            let added_bytes = entry.holding.merge(holding);
+            self.answers_bytes += added_bytes;
             return;
         }
-        self.answers_bytes += holding.kept_bytes();
+        self.answers_bytes += holding.stored_bytes();
         self.entries.insert(key.clone(), Entry { holding, expires });
     }
 
@@ -147,7 +146,7 @@
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut rest = self.entries.range((start, Bound::Unbounded));
         let page = rest.by_ref().take(count);
-        let page = page.map(|(key, entry)| (key.clone(), entry.sent(now)));
+        let page = page.map(|(key, entry)| (key.clone(), entry.to_sent(now)));
         (page.collect(), rest.next().is_some())
     }
 
@@ -156,7 +155,7 @@
         self.entries.retain(|_, entry| {
             let keep = entry.expires > now;
             if !keep {
-                *answers_bytes -= entry.holding.kept_bytes();
+                *answers_bytes -= entry.holding.stored_bytes();
             }
             keep
         });
@@ -167,12 +166,12 @@
         if self.entries.get(key).is_some_and(expired)
             && let Some(entry) = self.entries.remove(key)
         {
-            self.answers_bytes -= entry.holding.kept_bytes();
+            self.answers_bytes -= entry.holding.stored_bytes();
         }
     }
 
-    fn fitting(&self, record: Record) -> Record {
-        if self.answers_bytes + record.kept_bytes() > self.max_answers_bytes {
+    fn limit_size(&self, record: Record) -> Record {
+        if self.answers_bytes + record.stored_bytes() > self.max_answers_bytes {
             record.digested()
         } else {
             record
@@ -181,7 +180,7 @@
 }
 
 impl Entry {
-    fn sent(&self, now: Instant) -> SentEntry {
+    fn to_sent(&self, now: Instant) -> SentEntry {
         SentEntry {
             holding: self.holding.clone(),
             expires_in_ms: duration_ms(self.expires.saturating_duration_since(now)),
@@ -190,23 +189,23 @@
 }
 
 impl Holding {
-    fn is_only(&self, claim: &ClaimId) -> bool {
+    fn is_held_only_by(&self, claim: &ClaimId) -> bool {
         self.record.is_none() && self.holders.len() == 1 && self.holders.contains(claim)
     }
 
-    fn kept_bytes(&self) -> usize {
-        self.record.as_ref().map_or(0, Record::kept_bytes)
+    fn stored_bytes(&self) -> usize {
+        self.record.as_ref().map_or(0, Record::stored_bytes)
     }
 
-    /// Takes over what `other` knows; tells the bytes that came with it.
-    fn absorb(&mut self, other: Self) -> usize {
+    /// Merges `other` into this holding and returns the bytes of the record added.
+    fn merge(&mut self, other: Self) -> usize {
         if self.record.is_some() {
             return 0;
         }
         if other.record.is_some() {
-            // The claim that ran had a majority, so no other one will run.
+            // The claim that ran had a majority of the votes, so no other claim runs.
             *self = other;
-            return self.kept_bytes();
+            return self.stored_bytes();
         }
         for holder in other.holders {
             if !self.holders.contains(&holder) {
--- a/crates/once/src/hand_over.rs
+++ b/crates/once/src/hand_over.rs
@@ -1,9 +1,8 @@
-//! Graceful shutdown: finish, stop deciding, pass the records on.
+//! Graceful shutdown: finish runs, stop granting, hand the records over.
 //!
-//! The order of the steps is what makes the successors' answers true. New calls
-//! are refused first; runs in progress end; then this process grants no key of
-//! its own any more; only then are the records collected. A grant given in the
-//! last moment is among them.
+//! The order of the steps makes the successors' replies correct: new orders are
+//! refused, runs in progress end, this process stops granting its own keys, and
+//! only then are the records collected. So they include every grant.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,19 +14,19 @@
 use crate::core::Core;
 use crate::message::{ArchivePart, Reply, Request};
 
-const ATTEMPTS: u32 = 3;
-const WAIT_STEP: Duration = Duration::from_millis(5);
+const SEND_ATTEMPTS: u32 = 3;
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a graceful shutdown left behind.
+/// Result of a graceful shutdown.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize)]
 pub struct HandOverReport {
-    /// Claims that had not ended in time; their keys are *outcome unknown*.
+    /// Claims that had not ended in time; the outcome of their keys is unknown.
     pub unfinished: usize,
-    /// Minted keys whose records were passed on, this process's and others'.
+    /// Minted keys whose records were handed over, of this and of former processes.
     pub records: usize,
-    /// Daemons that have all of them that were meant for them.
+    /// Daemons that received all records meant for them.
     pub successors: Vec<InstanceId>,
-    /// Daemons that could not be given all.
+    /// Daemons to which some records could not be sent.
     pub unreached: Vec<InstanceId>,
 }
 
@@ -59,31 +58,31 @@
         let until = Instant::now() + self.options.hand_over_limit;
         while Instant::now() < until {
             let open = self.claims.borrow().open_count();
-            if open == 0 && self.unsent.get() == 0 {
+            if open == 0 && self.pending_notifications.get() == 0 {
                 return;
             }
-            compio::time::sleep(WAIT_STEP).await;
+            compio::time::sleep(WAIT_POLL_INTERVAL).await;
         }
     }
 
     fn stop_and_collect(&self) -> Vec<ArchivePart> {
-        let keep = self.keep();
+        let retention = self.retention();
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
-        state.mint.stop_deciding();
-        state.seat.stop_voting();
-        let mut parts = state.mint.archive(now, keep);
+        state.key_issuer.stop_granting();
+        state.voter.stop_voting();
+        let mut parts = state.key_issuer.archive(now, retention);
         parts.extend(state.archives.parts(now));
         parts
     }
 
     async fn send_part(self: &Rc<Self>, part: &ArchivePart) -> Vec<(InstanceId, bool)> {
         let former = &part.former;
-        let keepers = self.archive_keepers(&former.instance, former.incarnation);
-        let others = keepers.into_iter().filter(|peer| !self.is_me(peer));
+        let holders = self.archive_holders(&former.instance, former.incarnation);
+        let others = holders.into_iter().filter(|peer| !self.is_self(peer));
         let sends = others.map(|peer| async move {
             let request = Request::HandOver(part.clone());
-            for _ in 0..ATTEMPTS {
+            for _ in 0..SEND_ATTEMPTS {
                 if matches!(self.call(&peer, &request).await, Ok(Reply::Done)) {
                     return (peer, true);
                 }
--- a/crates/once/src/answers.rs
+++ b/crates/once/src/handlers.rs
@@ -1,4 +1,4 @@
-//! Answers to other daemons.
+//! Handlers of the requests that other daemons send.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -13,34 +13,34 @@
 use crate::view::VoterSet;
 
 impl Core {
-    /// The responder's side.
-    pub(crate) fn answer(self: &Rc<Self>, from: &InstanceId, request: Request) -> Reply {
-        self.establish_by_rule();
+    /// Handles a request of `from`, which may be this process itself.
+    pub(crate) fn handle(self: &Rc<Self>, from: &InstanceId, request: Request) -> Reply {
+        self.establish_without_synchronising();
         match request {
             Request::Claim {
                 order,
                 fingerprint,
                 claim,
                 set,
-            } => self.answer_claim(&order, fingerprint, &claim, set.as_ref()),
+            } => self.handle_claim(&order, fingerprint, &claim, set.as_ref()),
             Request::Release {
                 order,
                 decider,
                 claim,
-            } => self.answer_release(from, &order, decider, &claim),
+            } => self.handle_release(from, &order, decider, &claim),
             Request::Settle {
                 order,
                 decider,
                 fingerprint,
                 claim,
                 record,
-            } => self.answer_settle(from, &order, decider, fingerprint, claim, record),
+            } => self.handle_settle(from, &order, decider, fingerprint, claim, record),
             Request::Ask {
                 order,
                 decider,
                 claim,
                 voter,
-            } => self.answer_ask(order, decider, claim, voter),
+            } => self.handle_ask(order, decider, claim, voter),
             Request::Synchronise {
                 process,
                 target,
@@ -50,20 +50,20 @@
                     return Reply::Malformed;
                 }
                 let mut state = self.state.borrow_mut();
-                state.seat.page(&process, &target, after.as_ref())
+                state.voter.page(&process, &target, after.as_ref())
             }
             Request::HandOver(part) => {
                 let now = Instant::now();
                 self.state
                     .borrow_mut()
                     .archives
-                    .take(part, &self.options, now);
+                    .add(part, &self.options, now);
                 Reply::Done
             }
         }
     }
 
-    fn answer_claim(
+    fn handle_claim(
         &self,
         order: &OrderKey,
         fingerprint: Fingerprint,
@@ -71,15 +71,17 @@
         set: Option<&VoterSet>,
     ) -> Reply {
         let rules = self.voting_rules();
-        let keep = self.keep();
+        let retention = self.retention();
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let reply = match (MintedKey::parse(&order.key), set) {
             (Some(key), None) if key.home == self.options.process => {
-                state.mint.claim(key.counter, fingerprint, claim, now, keep)
+                state
+                    .key_issuer
+                    .claim(key.counter, fingerprint, claim, now, retention)
             }
             (Some(key), None) => state.archives.claim(&key, now),
-            (_, Some(set)) => state.seat.claim(order, fingerprint, claim, set, rules),
+            (_, Some(set)) => state.voter.claim(order, fingerprint, claim, set, rules),
             (None, None) => Reply::Malformed,
         };
         match reply {
@@ -89,7 +91,7 @@
         reply
     }
 
-    fn answer_release(
+    fn handle_release(
         &self,
         from: &InstanceId,
         order: &OrderKey,
@@ -101,9 +103,9 @@
         }
         let mut state = self.state.borrow_mut();
         match (decider, MintedKey::parse(&order.key)) {
-            (Decider::Voters, _) => state.seat.ballots.release(order, claim),
+            (Decider::Voters, _) => state.voter.grants.release(order, claim),
             (Decider::Home, Some(key)) if key.home == self.options.process => {
-                state.mint.ballots.release(&key.counter, claim);
+                state.key_issuer.grants.release(&key.counter, claim);
             }
             (Decider::Home, Some(key)) => state.archives.release(&key, claim),
             (Decider::Home, None) => return Reply::Malformed,
@@ -111,7 +113,7 @@
         Reply::Done
     }
 
-    fn answer_settle(
+    fn handle_settle(
         &self,
         from: &InstanceId,
         order: &OrderKey,
@@ -123,7 +125,7 @@
         if claim.process.instance != *from {
             return Reply::Malformed;
         }
-        let keep = self.keep().record;
+        let retention = self.retention().record;
         let now = Instant::now();
         let holding = Holding {
             fingerprint,
@@ -132,10 +134,10 @@
         };
         let mut state = self.state.borrow_mut();
         match (decider, MintedKey::parse(&order.key)) {
-            (Decider::Voters, _) => state.seat.ballots.settle(order, holding, now, keep),
+            (Decider::Voters, _) => state.voter.grants.settle(order, holding, now, retention),
             (Decider::Home, Some(key)) if key.home == self.options.process => {
-                let ballots = &mut state.mint.ballots;
-                ballots.settle(&key.counter, holding, now, keep);
+                let grants = &mut state.key_issuer.grants;
+                grants.settle(&key.counter, holding, now, retention);
             }
             (Decider::Home, Some(key)) => state.archives.settle(&key, holding, now),
             (Decider::Home, None) => return Reply::Malformed,
@@ -143,23 +145,23 @@
         Reply::Done
     }
 
-    fn answer_ask(
+    fn handle_ask(
         self: &Rc<Self>,
         order: OrderKey,
         decider: Decider,
         claim: ClaimId,
         voter: InstanceId,
     ) -> Reply {
-        let answer = self.claims.borrow().answer(&claim);
-        if matches!(answer, ClaimAnswer::Released) {
-            // The voter missed the release, or the claim came after it.
+        let status = self.claims.borrow().status_of(&claim);
+        if matches!(status, ClaimAnswer::Released) {
+            // The voter missed the release, or the claim reached it after the release.
             let release = Request::Release {
                 order,
                 decider,
                 claim,
             };
-            self.tell(&[voter], &release);
+            self.notify(&[voter], &release);
         }
-        Reply::Claim(answer)
+        Reply::Claim(status)
     }
 }
--- a/crates/once/src/ids.rs
+++ b/crates/once/src/ids.rs
@@ -1,23 +1,23 @@
-//! Names of processes and claims.
+//! Identifiers of processes and claims.
 
 use mangofront_settings::ids::{Incarnation, InstanceId};
 use serde::{Deserialize, Serialize};
 
-/// One life of one daemon.
+/// One incarnation of a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Process {
-    /// Machine it runs on.
+    /// Instance that it runs on.
     pub instance: InstanceId,
-    /// Number of its life; a later life on the same machine has a higher one.
+    /// Number of the incarnation; it increases with each start on the instance.
     pub incarnation: Incarnation,
 }
 
-/// One attempt of one process to become the only runner of a key.
+/// One attempt of a process to get the exclusive right to run a key.
 ///
-/// Never used twice: a retry of the same call takes the next counter.
+/// Never reused: a retry of the same call takes the next counter.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// Process that claims.
+    /// Process that made the claim.
     pub process: Process,
     /// Number within that process.
     pub counter: u64,
--- a/crates/once/src/key.rs
+++ b/crates/once/src/key.rs
@@ -1,8 +1,8 @@
-//! Keys: minted ones, UUIDv7 ones and any other text.
+//! Idempotency keys: minted keys, UUIDv7 keys and any other text.
 //!
-//! A minted key names the process that issued it, so that one process alone
-//! decides about it. Its text is `mf1.{instance}.{incarnation}.{counter}`; an
-//! instance's name may hold dots, so the text is read from its end.
+//! A minted key names the process that issued it, its *home*, which alone decides
+//! about it. Its text is `mf1.{instance}.{incarnation}.{counter}`; the name of an
+//! instance may contain dots, so the text is parsed from its end.
 
 use mangofront_settings::ids::OrganisationId;
 use serde::{Deserialize, Serialize};
@@ -12,23 +12,23 @@
 use crate::ids::Process;
 
 const MINTED_PREFIX: &str = "mf1.";
-const UUID_VERSION_BY_TIME: usize = 7;
+const UUID_VERSION_7: usize = 7;
 
-/// What a key is filed under.
+/// Organisation and key under which an order is recorded.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OrderKey {
-    /// Customer that sent it; empty for a minted key, which is unique by itself.
+    /// Organisation that sent it; empty for a minted key, which is unique by itself.
     pub organisation: OrganisationId,
     /// The key as the caller sent it.
     pub key: String,
 }
 
-/// Digest of a request, by which a reuse of its key for another one is told.
+/// Digest of a request, which detects that its key is reused for another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// Fingerprint of a request's method, path and whole body.
+    /// Fingerprint of a request's method, path and complete body.
     #[must_use]
     pub fn of(method: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = Xxh3::new();
@@ -39,8 +39,8 @@
         Self(hasher.digest128())
     }
 
-    /// Fingerprint that also tells organisations apart.
-    pub(crate) fn within(self, organisation: &str) -> Self {
+    /// Fingerprint that also differs between organisations.
+    pub(crate) fn with_organisation(self, organisation: &str) -> Self {
         let mut hasher = Xxh3::new();
         hasher.update(&self.0.to_le_bytes());
         hasher.update(organisation.as_bytes());
@@ -51,14 +51,14 @@
 /// A key that a daemon issued.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MintedKey {
-    /// The only process that decides about it.
+    /// Process that issued it, the only one that decides about it.
     pub home: Process,
-    /// Number within that process.
+    /// Number of the key within that process.
     pub counter: u64,
 }
 
 impl MintedKey {
-    /// Reads the text form; `None` when `text` is no minted key.
+    /// Parses the text form; `None` when `text` is not a minted key.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let rest = text.strip_prefix(MINTED_PREFIX)?;
@@ -71,11 +71,11 @@
             incarnation,
         };
         let minted = Self { home, counter };
-        // Only one text may stand for a key: "+1" and "01" are refused.
+        // Each key has exactly one text form: "+1" and "01" are rejected.
         (minted.text() == text).then_some(minted)
     }
 
-    /// Text form.
+    /// Text form of the key.
     #[must_use]
     pub fn text(&self) -> String {
         let Process {
@@ -86,10 +86,10 @@
     }
 }
 
-/// Time of issue of a UUIDv7, in Unix milliseconds; `None` for any other key.
+/// Timestamp of a UUIDv7 in Unix milliseconds; `None` for any other key.
 pub(crate) fn mint_time_unix_ms(key: &str) -> Option<u64> {
     let uuid = Uuid::try_parse(key).ok()?;
-    if uuid.get_version_num() != UUID_VERSION_BY_TIME {
+    if uuid.get_version_num() != UUID_VERSION_7 {
         return None;
     }
     let (seconds, nanoseconds) = uuid.get_timestamp()?.to_unix();
--- a/crates/once/src/mint.rs
+++ b/crates/once/src/key_issuer.rs
@@ -1,62 +1,66 @@
-//! Minted keys of this process, and the records of processes that handed over.
+//! Minted keys of this process, and archives of processes that handed over.
 //!
 //! The process that issued a key is the only one that grants it, so no list, no
-//! clock and no vote is involved. Age matters in one place: a used key's record
-//! is dropped some time, and from then on the key must not look unused. So a key
-//! may be used within the window from its issue only, and records outlive that.
+//! clock and no vote is involved. The age of a key matters in one respect: the
+//! record of a used key eventually expires, and the key must not look unused
+//! afterwards. So a key may be used only within the window after its issue, and
+//! records are kept for longer than that.
 //!
-//! A process that stops grants nothing from the moment on at which it collects
-//! its records, so what its successors hold (an [`Archive`]) is final: a key in
-//! it without a record never ran by its home's grant and never will. Successors
-//! answer and never grant, so it does no harm that there are several. A key that
-//! is so retired passes to the voters, see [`crate::gather_minted`]. The votes
-//! are kept from their grant for as long as the word *retired* is given from the
-//! stop, or from the end of the key's window, so they outlive it.
+//! A process that shuts down grants no key once it has collected its records, so
+//! the [`Archive`] that its successors keep is final: a key that has neither a
+//! holder nor a record in it never ran under a grant of its home and never will.
+//! Successors reply to claims but never grant, so there may be several of them.
+//! Such a key is *retired* and decided by the voters, see
+//! [`crate::gather_minted`]. Votes are kept for as long as a key is reported as
+//! retired, but counted from their grant, not from the shutdown or the end of the
+//! key's window. So they expire later than these reports.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use crate::ballots::{Ballots, Vote};
+use crate::grant_table::{GrantTable, Vote};
 use crate::ids::{ClaimId, Process};
 use crate::key::{Fingerprint, MintedKey};
 use crate::message::{ArchivePart, Grant, Holding, Reply, SentEntry};
 use crate::options::{OnceOptions, duration_ms, expiry};
 
+/// Shortest interval between two checkpoints.
 const CHECKPOINT_INTERVAL: Duration = Duration::from_secs(1);
-const PART_ENTRIES: usize = 200;
+/// Most entries in one part of an archive.
+const MAX_PART_ENTRIES: usize = 200;
 
-/// Issue and use of this process's own keys.
+/// Issues this process's own keys and grants them.
 #[derive(Debug)]
-pub(crate) struct Mint {
+pub(crate) struct KeyIssuer {
     process: Process,
     next: u64,
-    /// First counter issued at or after each time.
+    /// Times, each with the first counter issued at or after it.
     checkpoints: VecDeque<(Instant, u64)>,
-    pub(crate) ballots: Ballots<u64>,
-    deciding: bool,
+    pub(crate) grants: GrantTable<u64>,
+    granting: bool,
 }
 
-/// How long keys may be used and records are kept.
+/// Time for which keys may be used and records are kept.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Keep {
+pub(crate) struct Retention {
     pub(crate) window: Duration,
     pub(crate) record: Duration,
 }
 
-impl Mint {
+impl KeyIssuer {
     pub(crate) fn new(options: &OnceOptions) -> Self {
         Self {
             process: options.process.clone(),
             next: 0,
             checkpoints: VecDeque::new(),
-            ballots: Ballots::new(options.max_records, options.max_answers_bytes),
-            deciding: true,
+            grants: GrantTable::new(options.max_records, options.max_answers_bytes),
+            granting: true,
         }
     }
 
-    /// Issues a key; `None` once this process has stopped deciding.
+    /// Issues a key; `None` once this process no longer grants keys.
     pub(crate) fn issue(&mut self, now: Instant) -> Option<MintedKey> {
-        if !self.deciding {
+        if !self.granting {
             return None;
         }
         let last = self.checkpoints.back();
@@ -71,31 +75,31 @@
         })
     }
 
-    /// Answers a claim on one of this process's own keys.
+    /// Handles a claim on one of this process's own keys.
     pub(crate) fn claim(
         &mut self,
         counter: u64,
         fingerprint: Fingerprint,
         claim: &ClaimId,
         now: Instant,
-        keep: Keep,
+        retention: Retention,
     ) -> Reply {
         if counter >= self.next {
             return Reply::NeverMinted;
         }
-        if let Some(holding) = self.ballots.holding(&counter, now)
-            && !self.deciding
+        if let Some(holding) = self.grants.holding(&counter, now)
+            && !self.granting
         {
             return Reply::Held(holding);
         }
         match self.age_bound(counter, now) {
-            Some(age) if age <= keep.window && self.deciding => {}
-            Some(age) if age <= keep.record => return self.unusable(counter, now),
+            Some(age) if age <= retention.window && self.granting => {}
+            Some(age) if age <= retention.record => return self.held_or_retired(counter, now),
             _ => return Reply::HomeGone,
         }
         match self
-            .ballots
-            .vote(&counter, fingerprint, claim, now, keep.record)
+            .grants
+            .vote(&counter, fingerprint, claim, now, retention.record)
         {
             Vote::Granted => Reply::Granted(Grant {
                 voter: self.process.clone(),
@@ -106,49 +110,49 @@
         }
     }
 
-    fn unusable(&mut self, counter: u64, now: Instant) -> Reply {
-        let holding = self.ballots.holding(&counter, now);
+    fn held_or_retired(&mut self, counter: u64, now: Instant) -> Reply {
+        let holding = self.grants.holding(&counter, now);
         holding.map_or(Reply::Retired, Reply::Held)
     }
 
-    pub(crate) fn forget_expired(&mut self, now: Instant, keep: Keep) {
-        self.ballots.forget_all_expired(now);
+    pub(crate) fn forget_expired(&mut self, now: Instant, retention: Retention) {
+        self.grants.forget_all_expired(now);
         while let Some((_, _)) = self.checkpoints.front()
             && let Some((second, _)) = self.checkpoints.get(1)
-            && now.duration_since(*second) > keep.record
+            && now.duration_since(*second) > retention.record
         {
             self.checkpoints.pop_front();
         }
     }
 
-    /// Most time that can have passed since `counter` was issued; `None` when
-    /// that is beyond all records.
+    /// Upper bound on the time since `counter` was issued; `None` when the key is
+    /// older than all records.
     fn age_bound(&self, counter: u64, now: Instant) -> Option<Duration> {
         let mut newest_first = self.checkpoints.iter().rev();
         let found = newest_first.find(|(_, first)| *first <= counter);
         found.map(|(at, _)| now.duration_since(*at))
     }
 
-    /// Grants nothing from now on.
-    pub(crate) fn stop_deciding(&mut self) {
-        self.deciding = false;
+    /// Stops issuing and granting keys.
+    pub(crate) fn stop_granting(&mut self) {
+        self.granting = false;
     }
 
-    /// The records as parts to send; to be called after
-    /// [`Mint::stop_deciding`].
-    pub(crate) fn archive(&mut self, now: Instant, keep: Keep) -> Vec<ArchivePart> {
-        debug_assert!(!self.deciding, "an archive is final");
+    /// The records as parts to send; must be called after
+    /// [`KeyIssuer::stop_granting`].
+    pub(crate) fn archive(&mut self, now: Instant, retention: Retention) -> Vec<ArchivePart> {
+        debug_assert!(!self.granting, "an archive must be final");
         let first_counter = self
             .checkpoints
             .front()
             .map_or(self.next, |(_, first)| *first);
-        let (entries, _) = self.ballots.page(None, usize::MAX, now);
+        let (entries, _) = self.grants.page(None, usize::MAX, now);
         let archive = Archive {
             next_counter: self.next,
             complete_from: first_counter,
             total: entries.len(),
-            ballots: Ballots::new(0, 0),
-            expires: expiry(now, keep.record),
+            grants: GrantTable::new(0, 0),
+            expires: expiry(now, retention.record),
         };
         archive.parts_of(&self.process, entries, now)
     }
@@ -160,11 +164,11 @@
     next_counter: u64,
     complete_from: u64,
     total: usize,
-    ballots: Ballots<u64>,
+    grants: GrantTable<u64>,
     expires: Instant,
 }
 
-/// Archives by former process.
+/// Archives of former processes, by process.
 #[derive(Debug, Default)]
 pub(crate) struct Archives {
     table: BTreeMap<Process, Archive>,
@@ -175,23 +179,23 @@
         self.table.len()
     }
 
-    pub(crate) fn take(&mut self, part: ArchivePart, options: &OnceOptions, now: Instant) {
+    pub(crate) fn add(&mut self, part: ArchivePart, options: &OnceOptions, now: Instant) {
         let expires = expiry(now, Duration::from_millis(part.expires_in_ms));
         let archive = self.table.entry(part.former).or_insert_with(|| Archive {
             next_counter: part.next_counter,
             complete_from: part.complete_from,
             total: part.total,
-            ballots: Ballots::new(options.max_records, options.max_answers_bytes),
+            grants: GrantTable::new(options.max_records, options.max_answers_bytes),
             expires,
         });
         for (counter, mut entry) in part.entries {
-            // An entry that went before its archive would look like an unused key.
+            // If an entry expired before its archive, its key would look unused.
             entry.expires_in_ms = part.expires_in_ms;
-            archive.ballots.merge(&counter, entry, now);
+            archive.grants.merge(&counter, entry, now);
         }
     }
 
-    /// Answers a claim on a former process's key.
+    /// Handles a claim on a former process's key.
     pub(crate) fn claim(&mut self, key: &MintedKey, now: Instant) -> Reply {
         let Some(archive) = self.table.get_mut(&key.home) else {
             return Reply::HomeGone;
@@ -199,22 +203,22 @@
         archive.claim(key.counter, now)
     }
 
-    /// Keeps what a claim on a former process's key came to.
+    /// Stores the outcome of a claim on a former process's key.
     pub(crate) fn settle(&mut self, key: &MintedKey, holding: Holding, now: Instant) {
         let Some(archive) = self.table.get_mut(&key.home) else {
             return;
         };
-        // Only what was archived: another entry would make it seem whole.
-        if archive.ballots.holding(&key.counter, now).is_some() {
-            let keep = archive.expires.saturating_duration_since(now);
-            archive.ballots.settle(&key.counter, holding, now, keep);
+        // Only for an archived key: a new entry would make the archive look complete.
+        if archive.grants.holding(&key.counter, now).is_some() {
+            let retention = archive.expires.saturating_duration_since(now);
+            archive.grants.settle(&key.counter, holding, now, retention);
         }
     }
 
-    /// Drops a claim on a former process's key; the key stays unusable.
+    /// Removes a claim on a former process's key, whose entry stays.
     pub(crate) fn release(&mut self, key: &MintedKey, claim: &ClaimId) {
         if let Some(archive) = self.table.get_mut(&key.home) {
-            archive.released(key.counter, claim);
+            archive.release(key.counter, claim);
         }
     }
 
@@ -222,12 +226,15 @@
         self.table.retain(|_, archive| archive.expires > now);
     }
 
-    /// Every whole archive as parts to send.
+    /// The complete archives as parts to send.
     pub(crate) fn parts(&self, now: Instant) -> Vec<ArchivePart> {
-        let whole = self.table.iter().filter(|(_, archive)| archive.is_whole());
-        whole
+        let complete = self
+            .table
+            .iter()
+            .filter(|(_, archive)| archive.is_complete());
+        complete
             .flat_map(|(former, archive)| {
-                let (entries, _) = archive.ballots.page(None, usize::MAX, now);
+                let (entries, _) = archive.grants.page(None, usize::MAX, now);
                 archive.parts_of(former, entries, now)
             })
             .collect()
@@ -235,13 +242,13 @@
 }
 
 impl Archive {
-    fn is_whole(&self) -> bool {
-        self.ballots.len() >= self.total
+    fn is_complete(&self) -> bool {
+        self.grants.len() >= self.total
     }
 
-    fn released(&mut self, counter: u64, claim: &ClaimId) {
-        // The entry stays, for the count of entries tells a whole archive.
-        self.ballots.disown(&counter, claim);
+    fn release(&mut self, counter: u64, claim: &ClaimId) {
+        // The entry stays, as an archive is complete when all its entries are there.
+        self.grants.remove_holder(&counter, claim);
     }
 
     fn claim(&mut self, counter: u64, now: Instant) -> Reply {
@@ -251,13 +258,13 @@
         if counter >= self.next_counter {
             return Reply::NeverMinted;
         }
-        if let Some(holding) = self.ballots.holding(&counter, now) {
+        if let Some(holding) = self.grants.holding(&counter, now) {
             return match (&holding.record, holding.holders.as_slice()) {
                 (None, []) => Reply::Retired,
                 _ => Reply::Held(holding),
             };
         }
-        if self.is_whole() && counter >= self.complete_from {
+        if self.is_complete() && counter >= self.complete_from {
             return Reply::Retired;
         }
         Reply::HomeGone
@@ -281,6 +288,6 @@
         if entries.is_empty() {
             return vec![part(&[])];
         }
-        entries.chunks(PART_ENTRIES).map(part).collect()
+        entries.chunks(MAX_PART_ENTRIES).map(part).collect()
     }
 }
--- a/crates/once/src/message.rs
+++ b/crates/once/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between daemons, in postcard.
+//! Messages between daemons, encoded with postcard.
 
 use mangofront_settings::ids::{Incarnation, InstanceId};
 use serde::{Deserialize, Serialize};
@@ -8,33 +8,33 @@
 use crate::outcome::Record;
 use crate::view::VoterSet;
 
-/// Who decides about a key.
+/// Which processes decide about a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Decider {
-    /// The process that issued it, or those that keep its records.
+    /// The process that issued it, or those that took over its records.
     Home,
     /// The voters.
     Voters,
 }
 
-/// What one daemon asks of another.
+/// Request of one daemon to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Request {
-    /// Grant this key to this claim alone.
+    /// Requests an exclusive grant of a key to a claim.
     Claim {
         order: OrderKey,
         fingerprint: Fingerprint,
         claim: ClaimId,
-        /// Voters that the claimant counts; `None` when the key's home decides.
+        /// Voter set of the claimant; `None` when the key's home decides.
         set: Option<VoterSet>,
     },
-    /// The claim will never run; sent by its own process only.
+    /// Reports that a claim will never run; sent by its own process only.
     Release {
         order: OrderKey,
         decider: Decider,
         claim: ClaimId,
     },
-    /// What the run came to.
+    /// Reports the outcome of a claim's run.
     Settle {
         order: OrderKey,
         decider: Decider,
@@ -42,49 +42,51 @@
         claim: ClaimId,
         record: Record,
     },
-    /// What became of the claim; `voter` holds the key for it.
+    /// Requests the status of a claim for which `voter` holds a key.
     Ask {
         order: OrderKey,
         decider: Decider,
         claim: ClaimId,
         voter: InstanceId,
     },
-    /// Records after a key, and a fence against former sets and former lives.
+    /// Requests the records after a key, and fences older voter sets and former
+    /// incarnations of the sender.
     Synchronise {
         process: Process,
         target: VoterSet,
         after: Option<OrderKey>,
     },
-    /// Part of the records of a process that stops.
+    /// Sends part of the records of a process that is shutting down.
     HandOver(ArchivePart),
 }
 
-/// What the other answers.
+/// Reply to a [`Request`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Reply {
-    /// The key is the claim's.
+    /// The key is granted to the claim.
     Granted(Grant),
-    /// The key is another claim's, or settled.
+    /// The key is held by another claim or already has a record.
     Held(Holding),
-    /// The voter counts another set; the newer of both holds.
+    /// The voter has another voter set; the newer one applies.
     OtherSet(VoterSet),
-    /// The voter may have forgotten what it must know, or is no voter.
+    /// The receiver is not established, or is not a voter.
     NotReady,
-    /// The voter keeps too many records.
+    /// The receiver keeps too many records to add another.
     Full,
-    /// No such key was issued.
+    /// The home never issued the key.
     NeverMinted,
-    /// The home never granted the key and never will; the voters may.
+    /// The home never granted the key and never will; the voters decide.
     Retired,
-    /// This process is neither the key's home nor keeps its records.
+    /// The receiver can't decide: it is neither the key's home nor has its archive,
+    /// the archive is incomplete, or the key is older than all records.
     HomeGone,
-    /// Answer to [`Request::Ask`].
+    /// Reply to [`Request::Ask`].
     Claim(ClaimAnswer),
-    /// Answer to [`Request::Synchronise`].
+    /// Reply to [`Request::Synchronise`].
     Page(Box<Page>),
-    /// Done.
+    /// The request was applied.
     Done,
-    /// The request could not be read.
+    /// The request could not be decoded or is invalid.
     Malformed,
 }
 
@@ -92,11 +94,11 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Grant {
     pub(crate) voter: Process,
-    /// Lives of other voters that this one has given its records to.
+    /// Incarnations of other voters that this one has given its records to.
     pub(crate) fences: Vec<(InstanceId, Incarnation)>,
 }
 
-/// Who holds a key.
+/// The claims that hold a key, and the outcome once it is known.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Holding {
     pub(crate) fingerprint: Fingerprint,
@@ -104,48 +106,48 @@
     pub(crate) record: Option<Record>,
 }
 
-/// A claimant's word on its claim.
+/// Status of a claim, as its own process reports it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum ClaimAnswer {
-    /// It gathers votes or runs.
+    /// It is gathering votes or running.
     Busy,
     /// It will never run.
     Released,
     /// It ran.
     Settled(Record),
-    /// Not this process's, or no longer remembered.
+    /// Made by another process, or no longer recorded.
     Forgotten,
 }
 
-/// Part of a voter's records.
+/// One page of a voter's records.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Page {
     pub(crate) process: Process,
     pub(crate) view: VoterSet,
     pub(crate) established: Option<VoterSet>,
     pub(crate) pending: Vec<VoterSet>,
-    /// Whether this life was ever established in a set that it is a member of.
+    /// Whether this incarnation was ever established in a set that it is a member of.
     pub(crate) is_seated: bool,
-    /// Whether this life never had another set, nor was established.
+    /// Whether this incarnation has never had another set and was never established.
     pub(crate) is_first_set: bool,
     pub(crate) entries: Vec<(OrderKey, SentEntry)>,
     pub(crate) more: bool,
 }
 
-/// One record on its way.
+/// One record as it is sent.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct SentEntry {
     pub(crate) holding: Holding,
     pub(crate) expires_in_ms: u64,
 }
 
-/// Part of the records of a process that stopped deciding.
+/// Part of the records of a process that no longer grants keys.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct ArchivePart {
     pub(crate) former: Process,
-    /// First counter that was never issued.
+    /// Lowest counter that was never issued.
     pub(crate) next_counter: u64,
-    /// First counter whose records, if any, are all here.
+    /// Lowest counter from which on the archive contains every record.
     pub(crate) complete_from: u64,
     pub(crate) entries: Vec<(u64, SentEntry)>,
     /// Number of entries in all parts.
@@ -154,7 +156,7 @@
 }
 
 pub(crate) fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    // Only a failing `Serialize` or a full fixed buffer fails here, and these
-    // types have neither; an empty message is refused by its reader.
+    // Encoding fails only if `Serialize` fails or a fixed buffer is full, neither
+    // of which applies here. The receiver rejects an empty message.
     postcard::to_stdvec(message).unwrap_or_default()
 }
--- a/crates/once/src/once.rs
+++ b/crates/once/src/once.rs
@@ -1,4 +1,4 @@
-//! The handle that a daemon holds.
+//! Public handle of this crate.
 
 use std::fmt;
 use std::rc::Rc;
@@ -20,40 +20,41 @@
 use crate::transport::Transport;
 use crate::view::VoterView;
 
-/// At-most-once execution of one process; clones share their state.
+/// Handle to the at-most-once execution of one process; clones share their state.
 #[derive(Clone)]
 pub struct Once {
     core: Rc<Core>,
 }
 
-/// No key could be issued.
+/// No key was issued, as the process is shutting down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("issue a key: this daemon is stopping")]
 pub struct MintError;
 
 impl Once {
-    /// Process of `options`, which reaches others through `exchange`.
+    /// Creates the state of the process named in `options`; `transport` calls
+    /// other daemons.
     ///
-    /// It takes no part in votes before [`Once::set_view`] and while nothing
-    /// polls [`Once::maintain`].
+    /// The process does not vote before [`Once::set_view`] is called, and needs
+    /// [`Once::maintain`] to be polled to synchronise with other voters.
     #[must_use]
-    pub fn new(options: OnceOptions, exchange: Rc<dyn Transport>) -> Self {
-        let core = Rc::new(Core::new(options, exchange));
+    pub fn new(options: OnceOptions, transport: Rc<dyn Transport>) -> Self {
+        let core = Rc::new(Core::new(options, transport));
         Self { core }
     }
 
-    /// Tells the region's live entry instances.
+    /// Sets the region's live entry instances.
     pub fn set_view(&self, view: &VoterView) {
         self.core.set_view(view);
     }
 
-    /// Tells the published rules.
+    /// Sets the published rules.
     pub fn set_rules(&self, rules: &Idempotency) {
         self.core.set_rules(rules);
     }
 
-    /// Synchronises with other voters and drops what has expired; never ends, so
-    /// the daemon spawns it once.
+    /// Synchronises with other voters and drops expired records. The future never
+    /// completes; the daemon spawns it once.
     pub fn maintain(&self) -> impl Future<Output = ()> + use<> {
         Rc::clone(&self.core).maintain()
     }
@@ -61,23 +62,23 @@
     /// Issues a key that this process alone decides about.
     ///
     /// # Errors
-    /// [`MintError`] once the process hands over.
+    /// [`MintError`] once the process is shutting down.
     pub fn mint(&self) -> Result<String, MintError> {
         let mut state = self.core.state.borrow_mut();
         if state.stopping {
             return Err(MintError);
         }
-        let key = state.mint.issue(Instant::now()).ok_or(MintError)?;
+        let key = state.key_issuer.issue(Instant::now()).ok_or(MintError)?;
         state.counters.minted += 1;
         Ok(key.text())
     }
 
-    /// Runs `order` by `run`, unless its key ran or may have run before.
+    /// Calls `run` to run `order`, unless its key ran or may have run before.
     ///
-    /// `run` is called at most once, and for all daemons together at most one
-    /// `run` of a key gets to begin, but for those that report that no byte was
-    /// sent. A caller that goes away should not drop this future, for then the
-    /// outcome of a run in progress is lost; spawn it instead.
+    /// `run` is called at most once. Of the runs of a key on all daemons at most
+    /// one begins, not counting those that report that no byte was sent. Spawn this
+    /// future if its caller may go away: dropping it loses the outcome of a run in
+    /// progress.
     pub async fn execute<R, F>(&self, order: Order, deadline: Instant, run: R) -> Decision
     where
         R: FnOnce(RunPermit) -> F,
@@ -86,31 +87,33 @@
         self.core.execute(order, deadline, run).await
     }
 
-    /// Answers another daemon. The exchange vouches for `from`.
+    /// Handles a request of another daemon. The transport must have verified
+    /// `from`.
     #[must_use]
     pub fn handle(&self, from: &InstanceId, request: &Bytes) -> Bytes {
         let reply = match postcard::from_bytes(request) {
-            Ok(request) => self.core.answer(from, request),
+            Ok(request) => self.core.handle(from, request),
             Err(error) => {
-                log::warn!("once: unreadable request from {from}: {error}");
+                log::warn!("once: could not decode a request from {from}: {error}");
                 Reply::Malformed
             }
         };
         Bytes::from(encode(&reply))
     }
 
-    /// Refuses new work, waits for runs in progress and passes the records on.
+    /// Refuses new orders, waits for runs in progress and hands the records over.
     pub async fn hand_over(&self) -> HandOverReport {
         self.core.hand_over().await
     }
 
-    /// Whether this process knows all that its vote needs.
+    /// Whether this process is established in the newest voter set, see
+    /// [`Status::established`].
     #[must_use]
     pub fn is_established(&self) -> bool {
-        self.core.state.borrow().seat.is_established()
+        self.core.state.borrow().voter.is_established()
     }
 
-    /// Counts since the start.
+    /// Counters since the start of the process.
     #[must_use]
     pub fn counters(&self) -> Counters {
         let mut counters = self.core.state.borrow().counters;
@@ -122,14 +125,14 @@
     #[must_use]
     pub fn status(&self) -> Status {
         let state = self.core.state.borrow();
-        let view = state.seat.view();
-        let minted = &state.mint.ballots;
-        let plain = &state.seat.ballots;
+        let view = state.voter.view();
+        let minted = &state.key_issuer.grants;
+        let plain = &state.voter.grants;
         Status {
             counters: self.counters(),
             voters: view.map(|view| view.members.clone()).unwrap_or_default(),
-            voters_revision: state.seat.revision(),
-            established: state.seat.is_established(),
+            voters_revision: state.voter.revision(),
+            established: state.voter.is_established(),
             records: plain.len(),
             minted_records: minted.len(),
             archives: state.archives.len(),
--- a/crates/once/src/open_claim.rs
+++ b/crates/once/src/open_claim.rs
@@ -1,4 +1,4 @@
-//! One claim from its opening to its end, also when its call is dropped.
+//! Guard of an open claim, which ends the claim also when its call is dropped.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -11,27 +11,27 @@
 use crate::message::{Decider, Request};
 use crate::outcome::Record;
 
-const DROPPED: &str = "the call was given up during the run";
+const DROPPED_REASON: &str = "the call was given up during the run";
 
 /// A claim of this process that has not ended.
 ///
-/// Dropped before its run began, it is released; dropped later, its outcome is
-/// unknown. Either way the voters are told.
+/// Dropping it before its run began releases the claim; dropping it later settles
+/// the claim with an unknown outcome. Either way the voters are notified.
 pub(crate) struct OpenClaim {
     pub(crate) core: Rc<Core>,
     pub(crate) id: ClaimId,
-    pub(crate) made: Instant,
+    pub(crate) opened_at: Instant,
     pub(crate) order: OrderKey,
     pub(crate) decider: Decider,
     pub(crate) fingerprint: Fingerprint,
-    /// Who may hold the key for this claim.
-    pub(crate) asked: Vec<InstanceId>,
-    /// Who is to remember its outcome.
-    pub(crate) keepers: Vec<InstanceId>,
+    /// Instances that may hold the key for this claim.
+    pub(crate) contacted: Vec<InstanceId>,
+    /// Instances that store the outcome of this claim.
+    pub(crate) outcome_holders: Vec<InstanceId>,
 }
 
 impl OpenClaim {
-    /// Ends the claim without a run, for good.
+    /// Ends the claim without a run.
     pub(crate) fn release(&self) {
         let released = self.core.claims.borrow_mut().release(self.id.counter);
         if released.is_err() {
@@ -42,10 +42,10 @@
             decider: self.decider,
             claim: self.id.clone(),
         };
-        self.core.tell(&self.asked, &request);
+        self.core.notify(&self.contacted, &request);
     }
 
-    /// Ends the claim with what its run came to.
+    /// Ends the claim with the outcome of its run.
     pub(crate) fn settle(&self, record: &Record) {
         let mut claims = self.core.claims.borrow_mut();
         let settled = claims.settle(self.id.counter, record.clone());
@@ -60,7 +60,7 @@
             claim: self.id.clone(),
             record: record.clone(),
         };
-        self.core.tell(&self.keepers, &request);
+        self.core.notify(&self.outcome_holders, &request);
     }
 
     pub(crate) fn has_begun(&self) -> bool {
@@ -70,12 +70,12 @@
 
 impl Drop for OpenClaim {
     fn drop(&mut self) {
-        let over = self.core.claims.borrow().is_over(self.id.counter);
-        if over {
+        let has_ended = self.core.claims.borrow().has_ended(self.id.counter);
+        if has_ended {
             return;
         }
         if self.has_begun() {
-            let reason = DROPPED.to_owned();
+            let reason = DROPPED_REASON.to_owned();
             self.settle(&Record::Unknown { reason });
         } else {
             self.release();
--- a/crates/once/src/options.rs
+++ b/crates/once/src/options.rs
@@ -1,4 +1,4 @@
-//! Limits of one process.
+//! Options of one process.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -6,12 +6,12 @@
 
 use crate::ids::Process;
 
-/// Options of a [`crate::Once`], built from the process's name.
+/// Options of a [`crate::Once`].
 #[derive(Debug, Clone)]
 pub struct OnceOptions {
     pub(crate) process: Process,
     pub(crate) call_timeout: Duration,
-    pub(crate) patience: Duration,
+    pub(crate) claim_timeout: Duration,
     pub(crate) run_start_limit: Duration,
     pub(crate) clock_margin: Duration,
     pub(crate) poll_interval: Duration,
@@ -20,30 +20,29 @@
     pub(crate) max_answer_bytes: usize,
     pub(crate) max_answers_bytes: usize,
     pub(crate) started_unix_ms: u64,
-    pub(crate) weakness: Weakness,
+    pub(crate) disabled: DisabledSafeguard,
 }
 
-/// Mechanism that a test switches off.
+/// Safeguard that a test disables, to show that a failure occurs without it.
 #[cfg_attr(
     not(feature = "weaken"),
-    expect(dead_code, reason = "tests alone weaken")
+    expect(dead_code, reason = "constructed only with the feature `weaken`")
 )]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Weakness {
-    /// All mechanisms are on.
+pub enum DisabledSafeguard {
+    /// All safeguards are enabled.
     #[default]
     None,
-    /// One grant is enough to run.
-    MajorityOfOne,
-    /// A fresh voter votes without synchronising.
-    NoSynchronisation,
-    /// Grants of a voter's earlier life count.
-    NoIncarnationFence,
+    /// One grant is enough to run, instead of a majority.
+    Majority,
+    /// A voter that just started votes without synchronising.
+    Synchronisation,
+    /// Grants of earlier incarnations of a voter count.
+    IncarnationFence,
 }
 
 impl OnceOptions {
-    /// Options with default limits; `incarnation` grows with each start of
-    /// `instance`.
+    /// Default options; `incarnation` increases with each start of `instance`.
     #[must_use]
     pub fn new(instance: InstanceId, incarnation: Incarnation) -> Self {
         Self {
@@ -52,7 +51,7 @@
                 incarnation,
             },
             call_timeout: Duration::from_millis(500),
-            patience: Duration::from_secs(3),
+            claim_timeout: Duration::from_secs(3),
             run_start_limit: Duration::from_secs(10),
             clock_margin: Duration::from_secs(2),
             poll_interval: Duration::from_millis(20),
@@ -61,98 +60,104 @@
             max_answer_bytes: 4 << 10,
             max_answers_bytes: 8 << 20,
             started_unix_ms: unix_ms(),
-            weakness: Weakness::None,
+            disabled: DisabledSafeguard::None,
         }
     }
 
-    /// Time that one call to a peer may take.
+    /// Longest time for one call to a peer.
     #[must_use]
     pub fn call_timeout(mut self, timeout: Duration) -> Self {
         self.call_timeout = timeout;
         self
     }
 
-    /// Time for which a call looks for a majority, or for a key's home, before
-    /// it is answered without one; its deadline comes first.
+    /// Longest time for which an order retries to get a majority or to reach its
+    /// key's home before it is answered without; an earlier deadline of the order
+    /// takes precedence.
     #[must_use]
-    pub fn patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    pub fn claim_timeout(mut self, claim_timeout: Duration) -> Self {
+        self.claim_timeout = claim_timeout;
         self
     }
 
-    /// Longest time between a claim and the first byte of its run.
+    /// Longest time from the opening of a claim to the first byte of its run.
     #[must_use]
     pub fn run_start_limit(mut self, limit: Duration) -> Self {
         self.run_start_limit = limit;
         self
     }
 
-    /// Bound on the difference between two wall clocks, and what records are
-    /// kept for beyond the idempotency window.
+    /// Bound on the difference between two wall clocks; records are kept for this
+    /// much longer than the idempotency window and the limit for the start of a run.
     #[must_use]
     pub fn clock_margin(mut self, margin: Duration) -> Self {
         self.clock_margin = margin;
         self
     }
 
-    /// Pause between two questions about a run in progress.
+    /// Mean pause between two attempts to claim a key, and the shortest between
+    /// two reads of other voters' records.
     #[must_use]
     pub fn poll_interval(mut self, interval: Duration) -> Self {
         self.poll_interval = interval;
         self
     }
 
-    /// Longest time that a graceful shutdown waits for runs in progress.
+    /// Longest time for which a graceful shutdown waits for runs in progress.
     #[must_use]
     pub fn hand_over_limit(mut self, limit: Duration) -> Self {
         self.hand_over_limit = limit;
         self
     }
 
-    /// Number of records kept; beyond it new keys are refused, none is evicted.
+    /// Most records kept; when there are as many, new keys are refused and no
+    /// record is evicted.
     #[must_use]
     pub fn max_records(mut self, count: usize) -> Self {
         self.max_records = count;
         self
     }
 
-    /// Largest answer that is kept whole, in bytes.
+    /// Largest body of an answer that is kept complete, in bytes; of a larger one,
+    /// only the digest is kept.
     #[must_use]
     pub fn max_answer_bytes(mut self, bytes: usize) -> Self {
         self.max_answer_bytes = bytes;
         self
     }
 
-    /// Bytes of all answers kept; beyond it an answer keeps its digest only.
+    /// Most bytes of all answers kept; of an answer beyond it, only the digest is
+    /// kept.
     #[must_use]
     pub fn max_answers_bytes(mut self, bytes: usize) -> Self {
         self.max_answers_bytes = bytes;
         self
     }
 
-    /// Wall-clock start of the process in Unix milliseconds; now by default.
+    /// Wall-clock start of the process in Unix milliseconds; by default the time
+    /// at which the options were created.
     #[must_use]
     pub fn started_unix_ms(mut self, started: u64) -> Self {
         self.started_unix_ms = started;
         self
     }
 
-    /// Switches one mechanism off.
+    /// Disables one safeguard.
     #[cfg(feature = "weaken")]
     #[must_use]
-    pub fn weaken(mut self, weakness: Weakness) -> Self {
-        self.weakness = weakness;
+    pub fn disable(mut self, disabled: DisabledSafeguard) -> Self {
+        self.disabled = disabled;
         self
     }
 }
 
-/// Longest time that anything is kept. Longer ones, published or sent by a
-/// peer, would not fit the clock's range.
-const LONGEST_KEEP: Duration = Duration::from_hours(366 * 24);
+/// Longest retention of a record. A longer one, published or sent by a peer,
+/// could overflow [`Instant`].
+const MAX_RETENTION: Duration = Duration::from_hours(366 * 24);
 
-/// Time at which what is kept for `keep` from `now` on expires.
-pub(crate) fn expiry(now: Instant, keep: Duration) -> Instant {
-    now + keep.min(LONGEST_KEEP)
+/// Time at which a record that is kept for `retention` from `now` on expires.
+pub(crate) fn expiry(now: Instant, retention: Duration) -> Instant {
+    now + retention.min(MAX_RETENTION)
 }
 
 /// Wall-clock time in Unix milliseconds.
--- a/crates/once/src/outcome.rs
+++ b/crates/once/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run came to and what its caller is told.
+//! Outcomes of runs, and the decisions that callers get.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What the closure that runs an order reports.
+/// Result reported by the closure that runs an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// No byte was sent; the key may be run by a later call.
+    /// No byte was sent; a later call may run the key.
     NotStarted {
-        /// Why, for a person.
+        /// Human-readable cause.
         reason: String,
     },
     /// The upstream answered.
     Answered(Answer),
-    /// The upstream may have run it.
+    /// The upstream may have run the order.
     Unknown {
-        /// Why, for a person.
+        /// Human-readable cause.
         reason: String,
     },
 }
@@ -29,16 +29,16 @@
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers that a replay repeats.
+    /// Headers that a replay contains.
     pub headers: Vec<(String, String)>,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 /// Body of a replayed answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredBody {
-    /// The body as it was.
+    /// The complete body.
     Whole(Vec<u8>),
     /// The body was too large to keep.
     Digest {
@@ -50,7 +50,7 @@
 }
 
 impl StoredBody {
-    pub(crate) fn kept_bytes(&self) -> usize {
+    pub(crate) fn stored_bytes(&self) -> usize {
         match self {
             Self::Whole(body) => body.len(),
             Self::Digest { .. } => 0,
@@ -68,41 +68,41 @@
     }
 }
 
-/// What is remembered of a finished run.
+/// Stored outcome of a finished run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// The upstream answered.
     Answered {
         /// HTTP status.
         status: u16,
-        /// Headers that a replay repeats.
+        /// Headers that a replay contains.
         headers: Vec<(String, String)>,
         /// Body, or its digest.
         body: StoredBody,
     },
-    /// The upstream may have run it.
+    /// The upstream may have run the order.
     Unknown {
-        /// Why, for a person.
+        /// Human-readable cause.
         reason: String,
     },
 }
 
 impl Record {
     pub(crate) fn of(answer: &Answer, max_bytes: usize) -> Self {
-        let whole = StoredBody::Whole(answer.body.to_vec());
-        let keep = answer.body.len() <= max_bytes;
+        let complete = StoredBody::Whole(answer.body.to_vec());
+        let fits = answer.body.len() <= max_bytes;
         Self::Answered {
             status: answer.status,
             headers: answer.headers.clone(),
-            body: if keep { whole } else { whole.digested() },
+            body: if fits { complete } else { complete.digested() },
         }
     }
 
-    pub(crate) fn kept_bytes(&self) -> usize {
+    pub(crate) fn stored_bytes(&self) -> usize {
         match self {
             Self::Answered { headers, body, .. } => {
                 let headers = headers.iter().map(|(name, value)| name.len() + value.len());
-                headers.sum::<usize>() + body.kept_bytes()
+                headers.sum::<usize>() + body.stored_bytes()
             }
             Self::Unknown { reason } => reason.len(),
         }
@@ -120,12 +120,12 @@
     }
 }
 
-/// What the caller of an order is told.
+/// Decision on an order, as its caller gets it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
     /// This call ran the order.
     Answer(Answer),
-    /// An earlier call ran it; this is what it came to.
+    /// An earlier call ran the order; this is the answer it got.
     Replay {
         /// HTTP status.
         status: u16,
@@ -134,50 +134,51 @@
         /// Body of the first answer, or its digest.
         body: StoredBody,
     },
-    /// No call ever ran this key.
+    /// No call has run the key.
     NotRun {
-        /// Why.
+        /// Cause.
         reason: NotRunReason,
-        /// When a retry makes sense; `None` when only a new key helps.
+        /// Time after which to retry; `None` when only a new key helps.
         retry_after: Option<Duration>,
     },
-    /// This call ran nothing and never will; the call is at fault.
+    /// The call itself is invalid; it ran nothing.
     Failed(OrderError),
     /// The key may have run, by this call or by an earlier one.
     Unknown {
-        /// Why.
+        /// Cause.
         reason: UnknownReason,
-        /// When asking again with the same key makes sense.
+        /// Time after which to retry with the same key; `None` when a retry can't
+        /// learn more.
         retry_after: Option<Duration>,
     },
 }
 
-/// Why a key certainly never ran.
+/// Reason why a key was certainly not run.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum NotRunReason {
     /// The run reported that it sent no byte.
     #[error("the run did not start: {0}")]
     NotStarted(String),
-    /// The key's home keeps too many records to take another.
+    /// The key's home keeps too many records to add another.
     #[error("too many records are kept")]
     Full,
 }
 
-/// Fault of the call itself.
+/// Error of the call itself.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum OrderError {
-    /// The key belongs to another request.
+    /// The key was used for a different request.
     #[error("the key was sent before with another request")]
     Conflict,
-    /// The key looks minted, but its home never issued it.
+    /// The key has the form of a minted key, but its home never issued it.
     #[error("the key was never issued by the daemon that it names")]
     NeverMinted,
 }
 
-/// Why nobody can tell whether a key ran.
+/// Reason why it is unknown whether a key ran.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum UnknownReason {
-    /// The run itself could not tell.
+    /// The run ended without a known outcome.
     #[error("the run ended without an answer: {0}")]
     Run(String),
     /// The call's deadline passed during the run.
@@ -186,13 +187,13 @@
     /// No majority of the voters answered in time.
     #[error("no majority of the voters could be asked: {0}")]
     NoMajority(String),
-    /// Another daemon runs the key and did not finish in time.
+    /// Another daemon was running the key and did not finish in time.
     #[error("another daemon was still running it: {0}")]
     StillRunning(String),
     /// The key's home could not be reached.
     #[error("the daemon that issued the key can't be reached: {0}")]
     HomeUnreachable(String),
-    /// The key's home is gone and left no records.
+    /// The key's home is gone and its records are not available.
     #[error("the daemon that issued the key is gone: {0}")]
     HomeGone(String),
     /// This process is stopping.
--- a/crates/once/src/status.rs
+++ b/crates/once/src/status.rs
@@ -1,17 +1,17 @@
-//! What the status page shows.
+//! Counters and state shown on the status page.
 
 use serde::Serialize;
 
 use crate::outcome::Decision;
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub struct Counters {
     /// Keys issued.
     pub minted: u64,
-    /// Votes given.
+    /// Claims granted.
     pub grants: u64,
-    /// Claims answered without a vote.
+    /// Claims answered without a grant.
     pub denials: u64,
     /// Orders run by this process.
     pub ran: u64,
@@ -21,39 +21,39 @@
     pub not_run: u64,
     /// Orders answered *outcome unknown*.
     pub unknown: u64,
-    /// Orders refused for their own fault.
+    /// Orders refused because the call itself was invalid.
     pub refused: u64,
-    /// Steps refused because they would have broken *at most once*.
+    /// Phase transitions that would have violated *at most once*.
     pub violations: u64,
 }
 
 /// State of one process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Status {
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub counters: Counters,
-    /// Instances that vote, as this process knows.
+    /// Instances of the newest voter set that this process knows.
     pub voters: Vec<String>,
-    /// Revision of the list at which they were first seen.
+    /// Revision of the list at which this set was first seen.
     pub voters_revision: u64,
-    /// Whether this process knows all that its vote needs.
+    /// Whether this process is established in the newest voter set.
     pub established: bool,
-    /// Plain keys remembered.
+    /// Recorded plain keys.
     pub records: usize,
-    /// Minted keys remembered.
+    /// Recorded minted keys of this process.
     pub minted_records: usize,
-    /// Former processes answered for.
+    /// Former processes whose archives are kept.
     pub archives: usize,
-    /// Bytes of answers kept.
+    /// Bytes of the kept answers.
     pub answers_bytes: usize,
-    /// Claims that gather votes or run.
+    /// Claims of this process that have not ended.
     pub open_claims: usize,
-    /// Whether new work is refused.
+    /// Whether the process is shutting down and refuses new orders.
     pub stopping: bool,
 }
 
 impl Counters {
-    pub(crate) fn note(&mut self, decision: &Decision) {
+    pub(crate) fn record(&mut self, decision: &Decision) {
         let count = match decision {
             Decision::Answer(_) => &mut self.ran,
             Decision::Replay { .. } => &mut self.replayed,
--- a/crates/once/src/transport.rs
+++ b/crates/once/src/transport.rs
@@ -1,4 +1,4 @@
-//! The edge to other daemons.
+//! Interface to the links with other daemons.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use mangofront_settings::ids::InstanceId;
 use thiserror::Error;
 
-/// Request and reply with other daemons.
+/// Sends requests to other daemons and returns their replies.
 ///
-/// A call may be lost, delayed or delivered twice; it must not be delivered to
-/// another instance than the one named.
+/// A request may be lost, delayed or delivered twice, but must not be delivered
+/// to an instance other than the named one.
 pub trait Transport {
     /// Sends `request` to the daemon on `to` and waits for its reply.
     fn call(
@@ -21,14 +21,14 @@
     ) -> LocalBoxFuture<'static, Result<Bytes, TransportError>>;
 }
 
-/// A call without a reply; the peer may have handled it all the same.
+/// A call that got no reply; the peer may have handled it nevertheless.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{step} with {peer}: {reason}")]
 pub struct TransportError {
     /// Step that failed.
     pub step: &'static str,
-    /// Who was called.
+    /// Instance that was called.
     pub peer: InstanceId,
-    /// Why, for a person.
+    /// Human-readable cause.
     pub reason: String,
 }
--- a/crates/once/src/view.rs
+++ b/crates/once/src/view.rs
@@ -1,10 +1,10 @@
-//! Which instances vote.
+//! Selection of the voters.
 //!
-//! All daemons of a region work out the same set from the same list: the best
-//! instances by rendezvous hash, taken in turns from the availability zones, an
-//! odd number of at most [`MAX_VOTERS`]. A single set for all keys keeps
-//! synchronisation to one matter; only the order in which a claim visits the
-//! voters differs between keys.
+//! All daemons of a region compute the same set from the same list: the highest
+//! ranked instances by rendezvous hash, taken round-robin from the availability
+//! zones, an odd number of at most [`MAX_VOTERS`]. There is a single set for all
+//! keys, so that only one set has to be synchronised; only the order in which a
+//! claim contacts the voters differs between keys.
 
 use std::collections::BTreeMap;
 
@@ -22,20 +22,20 @@
 pub struct ListedInstance {
     /// Its name.
     pub instance: InstanceId,
-    /// Where it stands.
+    /// Availability zone that it runs in.
     pub availability_zone: AvailabilityZone,
 }
 
-/// The region's live entry instances, as the list tells them.
+/// The region's live entry instances according to the instance list.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct VoterView {
     /// Revision of the list; higher is newer.
     pub list_revision: Revision,
-    /// Live entry instances; those that leave are left out.
+    /// Live entry instances, without those that are leaving.
     pub listed: Vec<ListedInstance>,
 }
 
-/// Voters under one revision of the list.
+/// Voters at one revision of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VoterSet {
     /// Revision at which these members were first seen.
@@ -48,7 +48,7 @@
     pub(crate) fn of(view: &VoterView) -> Self {
         Self {
             revision: view.list_revision,
-            members: choose(&view.listed),
+            members: select_voters(&view.listed),
         }
     }
 
@@ -56,36 +56,36 @@
         self.members.len() / 2 + 1
     }
 
-    pub(crate) fn has(&self, instance: &str) -> bool {
+    pub(crate) fn contains(&self, instance: &str) -> bool {
         self.members.iter().any(|member| member == instance)
     }
 
-    pub(crate) fn same_members(&self, other: &Self) -> bool {
+    pub(crate) fn has_same_members(&self, other: &Self) -> bool {
         self.members == other.members
     }
 }
 
-fn choose(listed: &[ListedInstance]) -> Vec<InstanceId> {
+fn select_voters(listed: &[ListedInstance]) -> Vec<InstanceId> {
     let mut by_zone: BTreeMap<&str, Vec<(u64, &str)>> = BTreeMap::new();
-    for voter in listed {
-        let score = score(&voter.instance, VOTER_SEED);
-        let zone = by_zone.entry(&voter.availability_zone).or_default();
-        zone.push((score, &voter.instance));
+    for candidate in listed {
+        let score = score(&candidate.instance, VOTER_SEED);
+        let zone = by_zone.entry(&candidate.availability_zone).or_default();
+        zone.push((score, &candidate.instance));
     }
     let mut ranked: Vec<(usize, u64, &str)> = Vec::new();
     for zone in by_zone.values_mut() {
         zone.sort_unstable();
         zone.dedup();
-        let in_turn = zone.iter().enumerate();
-        ranked.extend(in_turn.map(|(rank, (score, instance))| (rank, *score, *instance)));
+        let by_rank = zone.iter().enumerate();
+        ranked.extend(by_rank.map(|(rank, (score, instance))| (rank, *score, *instance)));
     }
     ranked.sort_unstable();
-    // An even set needs a larger majority and survives no more failures.
-    let fit = ranked.len().min(MAX_VOTERS);
-    let count = if fit.is_multiple_of(2) {
-        fit.saturating_sub(1)
+    // An even number needs a larger majority and tolerates no more failures.
+    let limit = ranked.len().min(MAX_VOTERS);
+    let count = if limit.is_multiple_of(2) {
+        limit.saturating_sub(1)
     } else {
-        fit
+        limit
     };
     let mut members: Vec<InstanceId> = ranked
         .into_iter()
@@ -96,8 +96,8 @@
     members
 }
 
-/// `instances` in the rendezvous order of `text`.
-pub(crate) fn rendezvous(instances: &[InstanceId], text: &str) -> Vec<InstanceId> {
+/// `instances` sorted by their rendezvous hash for `text`.
+pub(crate) fn rendezvous_order(instances: &[InstanceId], text: &str) -> Vec<InstanceId> {
     let seed = xxh3_64_with_seed(text.as_bytes(), 0);
     let mut scored: Vec<(u64, &InstanceId)> = instances
         .iter()
--- a/crates/once/src/voting_rules.rs
+++ b/crates/once/src/voting_rules.rs
@@ -1,29 +1,29 @@
-//! When a voter may vote without having synchronised.
+//! Conditions under which a voter may vote without having synchronised.
 
 use std::time::Duration;
 
 use crate::key::mint_time_unix_ms;
 use crate::options::{duration_ms, unix_ms};
 
-/// Rules that decide when a voter may vote.
+/// Parameters of these conditions.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct VotingRules {
-    pub(crate) keep: Duration,
+    pub(crate) record_retention: Duration,
     pub(crate) clock_margin: Duration,
     pub(crate) first_start_unix_ms: u64,
 }
 
 impl VotingRules {
-    /// Whether an operator vouches that a set taken at `taken_unix_ms` was taken
-    /// before any key was sent.
-    pub(crate) fn vouch_for(self, taken_unix_ms: u64) -> bool {
+    /// Whether an operator confirms that a set adopted at `adopted_unix_ms` was
+    /// adopted before any key was sent.
+    pub(crate) fn operator_confirms(self, adopted_unix_ms: u64) -> bool {
         let first_start = self.first_start_unix_ms;
         let margin_ms = duration_ms(self.clock_margin);
-        taken_unix_ms.saturating_add(margin_ms) < first_start && first_start <= unix_ms()
+        adopted_unix_ms.saturating_add(margin_ms) < first_start && first_start <= unix_ms()
     }
 
-    /// Whether `key` was issued after its set was known to be in force.
-    pub(crate) fn is_younger(self, key: &str, in_force_unix_ms: Option<u64>) -> bool {
+    /// Whether `key` was issued after `in_force_unix_ms`, by more than the margin.
+    pub(crate) fn is_issued_after(self, key: &str, in_force_unix_ms: Option<u64>) -> bool {
         let Some((minted, in_force)) = mint_time_unix_ms(key).zip(in_force_unix_ms) else {
             return false;
         };
--- a/crates/once/tests/alone.rs
+++ b/crates/once/tests/alone.rs
@@ -1,4 +1,4 @@
-//! One daemon without peers.
+//! A single daemon without peers.
 
 mod fleet;
 
@@ -44,9 +44,11 @@
 }
 
 #[compio::test]
-async fn broken_link_is_unknown_for_good() {
+async fn broken_connection_leaves_the_outcome_unknown() {
     let fleet = Fleet::started(1, 1).await;
-    assert!(is_unknown(&fleet.order(0, "plain", Upstream::Breaks).await));
+    assert!(is_unknown(
+        &fleet.order(0, "plain", Upstream::BreaksConnection).await
+    ));
     assert!(is_unknown(
         &fleet.order(0, "plain", Upstream::Answers).await
     ));
@@ -54,17 +56,17 @@
 }
 
 #[compio::test]
-async fn late_start_does_not_begin() {
+async fn run_that_starts_too_late_does_not_begin() {
     let fleet = Fleet::started(1, 1).await;
-    // Later than both the limit for the start and the deadline.
+    // Later than the deadline and the limit for the start of a run.
     assert!(is_not_run(
-        &fleet.order(0, "plain", Upstream::Late(600)).await
+        &fleet.order(0, "plain", Upstream::StartsLate(600)).await
     ));
     assert_eq!(fleet.runs("plain"), 0);
 }
 
 #[compio::test]
-async fn another_request_under_the_same_key_conflicts() {
+async fn different_request_with_the_same_key_conflicts() {
     let fleet = Fleet::started(1, 1).await;
     let minted = fleet.once(0).unwrap().mint().unwrap();
     for key in [minted.as_str(), "plain"] {
@@ -85,10 +87,10 @@
 }
 
 #[compio::test]
-async fn unvouched_voter_does_not_vote() {
+async fn voter_without_confirmed_start_does_not_vote() {
     let fleet = Fleet::new(1);
     fleet.start(0);
-    fleet.list(1, &[0], &[0]);
+    fleet.set_list(1, &[0], &[0]);
     assert!(is_unknown(
         &fleet.order(0, "plain", Upstream::Answers).await
     ));
@@ -97,7 +99,7 @@
 }
 
 #[compio::test]
-async fn stopped_process_issues_no_key() {
+async fn process_that_handed_over_issues_no_key() {
     let fleet = Fleet::started(1, 1).await;
     let once = fleet.once(0).unwrap();
     let key = once.mint().unwrap();
@@ -116,10 +118,10 @@
 }
 
 #[compio::test]
-async fn long_answer_keeps_its_digest() {
+async fn only_the_digest_of_a_large_answer_is_kept() {
     let fleet = Fleet::started(1, 1).await;
     assert!(is_answer(
-        &fleet.order(0, "plain", Upstream::AnswersLong).await
+        &fleet.order(0, "plain", Upstream::AnswersLarge).await
     ));
     let again = fleet.order(0, "plain", Upstream::Answers).await;
     let Some(Decision::Replay {
@@ -138,7 +140,7 @@
 }
 
 #[compio::test]
-async fn full_tables_refuse_and_forget_nothing() {
+async fn full_tables_refuse_new_keys_and_evict_nothing() {
     let mut fleet = Fleet::new(1);
     fleet.max_records = 2;
     fleet.start_all(1).await;
@@ -165,8 +167,8 @@
 }
 
 #[test]
-fn any_bytes_from_a_peer_are_answered() {
-    fn answers(requests: Vec<Vec<u8>>) -> bool {
+fn arbitrary_bytes_from_a_peer_get_a_reply() {
+    fn all_get_a_reply(requests: Vec<Vec<u8>>) -> bool {
         let runtime = compio::runtime::Runtime::new().expect("a runtime");
         runtime.block_on(async {
             let fleet = Fleet::started(1, 1).await;
@@ -176,7 +178,7 @@
                 .into_iter()
                 .enumerate()
                 .all(|(number, mut request)| {
-                    // Most start as one of the six kinds of requests.
+                    // Most start with the tag of one of the six kinds of requests.
                     request.insert(0, (number % 7) as u8);
                     !once.handle(&from, &request.into()).is_empty()
                 })
@@ -184,11 +186,11 @@
     }
     let generator = Gen::from_size_and_seed(300, 1);
     let mut check = QuickCheck::new().rng(generator).tests(40);
-    check.quickcheck(answers as fn(Vec<Vec<u8>>) -> bool);
+    check.quickcheck(all_get_a_reply as fn(Vec<Vec<u8>>) -> bool);
 }
 
 #[compio::test]
-async fn endless_window_is_no_fault() {
+async fn maximal_window_is_accepted() {
     let fleet = Fleet::new(1);
     fleet.publish_window(u64::MAX);
     fleet.start_all(1).await;
--- a/crates/once/tests/faults.rs
+++ b/crates/once/tests/faults.rs
@@ -1,20 +1,22 @@
-//! Scripted faults: retries elsewhere, deaths, cuts, freezes, restarts.
+//! Scripted faults: crashes, network partitions, frozen and restarted processes.
 
 mod fleet;
 
 use std::time::Duration;
 
 use compio::time::sleep;
-use fleet::{Fleet, Noise, Upstream, is_answer, is_not_run, is_replay, is_unknown, time_key};
+use fleet::{
+    Fleet, LinkFaults, Upstream, is_answer, is_not_run, is_replay, is_unknown, uuid_v7_key,
+};
 use futures_util::future::join_all;
-use mangofront_once::{Decision, Weakness};
+use mangofront_once::{Decision, DisabledSafeguard};
 
-async fn a_while() {
+async fn short_pause() {
     sleep(Duration::from_millis(60)).await;
 }
 
 #[compio::test]
-async fn retry_by_another_daemon_is_replayed() {
+async fn retry_at_another_daemon_is_replayed() {
     let fleet = Fleet::started(6, 1).await;
     let minted = fleet.once(5).unwrap().mint().unwrap();
     for key in [minted.as_str(), "plain"] {
@@ -31,9 +33,9 @@
 #[compio::test]
 async fn concurrent_claims_run_once() {
     let fleet = Fleet::started(6, 2).await;
-    fleet.noise(Noise {
+    fleet.set_link_faults(LinkFaults {
         delay_ms: 2,
-        doubled_percent: 20,
+        duplicated_percent: 20,
         lost_percent: 0,
     });
     let minted = fleet.once(3).unwrap().mint().unwrap();
@@ -54,22 +56,22 @@
 }
 
 #[compio::test]
-async fn runner_killed_before_its_run_blocks_or_frees_the_key() {
+async fn runner_killed_before_its_run_blocks_the_key() {
     let fleet = Fleet::started(5, 3).await;
-    let call = fleet.order(0, "plain", Upstream::Late(50));
+    let call = fleet.order(0, "plain", Upstream::StartsLate(50));
     let killing = async {
         sleep(Duration::from_millis(20)).await;
         fleet.kill(0);
         fleet.order(1, "plain", Upstream::Answers).await
     };
     let (_, retry) = futures_util::join!(call, killing);
-    // Nobody can tell that the dead process did not send.
+    // The others can't know that the killed process sent nothing.
     assert!(is_unknown(&retry), "{retry:?}");
     assert_eq!(fleet.runs("plain"), 0);
 }
 
 #[compio::test]
-async fn runner_killed_in_its_run_leaves_the_outcome_unknown() {
+async fn runner_killed_during_its_run_leaves_the_outcome_unknown() {
     let fleet = Fleet::started(5, 4).await;
     let minted = fleet.once(4).unwrap().mint().unwrap();
     for (runner, key) in [(0, minted.as_str()), (1, "plain")] {
@@ -86,13 +88,13 @@
 }
 
 #[compio::test]
-async fn runner_killed_after_its_run_is_answered_for_by_the_voters() {
+async fn answer_of_a_runner_killed_after_its_run_is_replayed() {
     let fleet = Fleet::started(5, 5).await;
     let minted = fleet.once(4).unwrap().mint().unwrap();
     for key in [minted.as_str(), "plain"] {
         assert!(is_answer(&fleet.order(0, key, Upstream::Answers).await));
     }
-    a_while().await;
+    short_pause().await;
     fleet.kill(0);
     for key in [minted.as_str(), "plain"] {
         assert!(is_replay(&fleet.order(2, key, Upstream::Answers).await));
@@ -101,11 +103,11 @@
 }
 
 #[compio::test]
-async fn both_sides_of_a_cut_try() {
+async fn key_claimed_on_both_sides_of_a_partition_runs_once() {
     let fleet = Fleet::started(6, 6).await;
     let minted = fleet.once(0).unwrap().mint().unwrap();
-    // hall-0 is cut off from the two others.
-    fleet.cut(&[0, 3]);
+    // hall-0 is isolated from the other two zones.
+    fleet.partition(&[0, 3]);
     let keys = ["plain", minted.as_str()];
     for key in keys {
         let calls = (0..6).map(|number| fleet.order(number, key, Upstream::Answers));
@@ -120,8 +122,8 @@
         assert!(!decisions.iter().any(is_not_run), "{decisions:?}");
         assert_eq!(fleet.runs(key), 1);
     }
-    let lone = fleet.order(3, "lone", Upstream::Answers).await;
-    assert!(is_unknown(&lone));
+    let minority = fleet.order(3, "lone", Upstream::Answers).await;
+    assert!(is_unknown(&minority));
     let local = fleet.once(3).unwrap().mint().unwrap();
     assert!(is_answer(&fleet.order(3, &local, Upstream::Answers).await));
     fleet.heal();
@@ -137,21 +139,21 @@
 }
 
 #[compio::test]
-async fn frozen_runner_wakes_after_a_retry() {
+async fn frozen_runner_resumes_after_a_retry() {
     let fleet = Fleet::started(5, 7).await;
     for (key, late_ms) in [("slow-start", 30), ("too-late", 600)] {
-        let call = fleet.order(0, key, Upstream::Late(late_ms));
+        let call = fleet.order(0, key, Upstream::StartsLate(late_ms));
         let freezing = async {
             sleep(Duration::from_millis(15)).await;
             fleet.freeze(0);
             let retry = fleet.order(1, key, Upstream::Answers).await;
-            fleet.thaw(0);
+            fleet.unfreeze(0);
             retry
         };
         let (_, retry) = futures_util::join!(call, freezing);
         assert!(is_unknown(&retry), "{retry:?}");
         assert!(fleet.runs(key) <= 1);
-        a_while().await;
+        short_pause().await;
         let later = fleet.order(2, key, Upstream::Answers).await;
         assert!(fleet.runs(key) == 1, "{later:?}");
     }
@@ -159,7 +161,7 @@
 }
 
 #[compio::test]
-async fn restarted_voters_synchronise_one_after_the_other() {
+async fn voters_restarted_one_by_one_synchronise() {
     let fleet = Fleet::started(5, 8).await;
     for number in 0..5 {
         let key = format!("before-{number}");
@@ -167,12 +169,12 @@
             &fleet.order(number, &key, Upstream::Answers).await
         ));
     }
-    a_while().await;
+    short_pause().await;
     for number in 0..5 {
         fleet.kill(number);
         fleet.start(number);
-        fleet.list(1, &[0, 1, 2, 3, 4], &[number]);
-        assert!(fleet.settle(&[number]).await);
+        fleet.set_list(1, &[0, 1, 2, 3, 4], &[number]);
+        assert!(fleet.wait_until_established(&[number]).await);
     }
     for number in 0..5 {
         let key = format!("before-{number}");
@@ -182,15 +184,16 @@
     }
 }
 
-/// Voter `a` restarts between its vote and that of `b`, and reads the records of
-/// both others meanwhile; another claim then takes `a` and `c`.
-async fn restart_between_votes([a, b, c]: [usize; 3], weakness: Weakness) -> u32 {
+/// Voter `a` restarts between its vote and the vote of `b`, and in between reads the
+/// records of `b` and `c`. A second claim then gets the votes of `a` and `c`.
+/// Returns how often the key ran.
+async fn restart_between_votes([a, b, c]: [usize; 3], disabled: DisabledSafeguard) -> u32 {
     let mut fleet = Fleet::new(9);
-    fleet.weakness = weakness;
+    fleet.disabled = disabled;
     fleet.call_timeout = Duration::from_millis(250);
     fleet.start_all(5).await;
-    fleet.list(2, &[0, 1, 2], &[0, 1, 2, 3, 4]);
-    assert!(fleet.settle(&[0, 1, 2]).await);
+    fleet.set_list(2, &[0, 1, 2], &[0, 1, 2, 3, 4]);
+    assert!(fleet.wait_until_established(&[0, 1, 2]).await);
     fleet.delay_link(3, b, Some(100));
     fleet.delay_link(3, c, None);
     fleet.delay_link(4, b, None);
@@ -199,16 +202,17 @@
         sleep(Duration::from_millis(10)).await;
         fleet.kill(a);
         fleet.start(a);
-        fleet.list(2, &[0, 1, 2], &[a]);
-        assert!(fleet.settle(&[a]).await);
+        fleet.set_list(2, &[0, 1, 2], &[a]);
+        assert!(fleet.wait_until_established(&[a]).await);
         fleet.order(4, "plain", Upstream::Answers).await
     };
     let _ = futures_util::join!(first, second);
     fleet.runs("plain")
 }
 
-/// Most runs of a key; one of the orders has the key's first voter as its `a`.
-async fn restarts_between_votes(weakness: Weakness) -> u32 {
+/// Most runs of a key in all permutations of the voters; in some of them, the voter
+/// that the claim contacts first is `a`.
+async fn restarts_between_votes(disabled: DisabledSafeguard) -> u32 {
     let orders = [
         [0, 1, 2],
         [0, 2, 1],
@@ -217,28 +221,28 @@
         [2, 0, 1],
         [2, 1, 0],
     ];
-    let plays = orders.map(|order| restart_between_votes(order, weakness));
-    join_all(plays).await.into_iter().max().unwrap_or(0)
+    let results = orders.map(|order| restart_between_votes(order, disabled));
+    join_all(results).await.into_iter().max().unwrap_or(0)
 }
 
 #[compio::test]
-async fn restart_between_two_votes_does_not_free_the_key() {
-    assert_eq!(restarts_between_votes(Weakness::None).await, 1);
+async fn restart_between_two_votes_does_not_release_the_key() {
+    assert_eq!(restarts_between_votes(DisabledSafeguard::None).await, 1);
 }
 
 #[compio::test]
-async fn without_the_fence_a_vote_of_a_former_life_doubles_the_run() {
+async fn without_the_fence_a_vote_of_a_former_incarnation_leads_to_a_second_run() {
     assert_eq!(
-        restarts_between_votes(Weakness::NoIncarnationFence).await,
+        restarts_between_votes(DisabledSafeguard::IncarnationFence).await,
         2
     );
 }
 
 #[compio::test]
-async fn whole_fleet_restart_leaves_no_double() {
+async fn restart_of_the_whole_fleet_leads_to_no_second_run() {
     let fleet = Fleet::started(3, 10).await;
-    let old_time_key = time_key();
-    for key in ["plain", &old_time_key] {
+    let old_uuid_v7_key = uuid_v7_key();
+    for key in ["plain", &old_uuid_v7_key] {
         assert!(is_answer(&fleet.order(0, key, Upstream::Answers).await));
     }
     for number in 0..3 {
@@ -247,39 +251,39 @@
     for number in 0..3 {
         fleet.start(number);
     }
-    fleet.list(1, &[0, 1, 2], &[0, 1, 2]);
-    a_while().await;
-    for key in ["plain", &old_time_key] {
+    fleet.set_list(1, &[0, 1, 2], &[0, 1, 2]);
+    short_pause().await;
+    for key in ["plain", &old_uuid_v7_key] {
         assert!(is_unknown(&fleet.order(0, key, Upstream::Answers).await));
         assert_eq!(fleet.runs(key), 1);
     }
-    // A key whose own time says that it is younger than all three runs, once.
-    let new_time_key = time_key();
+    // A key whose timestamp is later than the restart runs once.
+    let new_uuid_v7_key = uuid_v7_key();
     assert!(is_answer(
-        &fleet.order(0, &new_time_key, Upstream::Answers).await
+        &fleet.order(0, &new_uuid_v7_key, Upstream::Answers).await
     ));
     assert!(is_replay(
-        &fleet.order(2, &new_time_key, Upstream::Answers).await
+        &fleet.order(2, &new_uuid_v7_key, Upstream::Answers).await
     ));
-    // One from the future has no time that counts.
+    // A timestamp in the future is ignored.
     let future = "0fffffff-ffff-7000-8000-000000000000";
     assert!(is_unknown(&fleet.order(0, future, Upstream::Answers).await));
 }
 
 #[compio::test]
-async fn key_of_a_dead_home_is_unknown() {
+async fn outcome_of_a_key_with_a_killed_home_is_unknown() {
     let fleet = Fleet::started(3, 11).await;
     let key = fleet.once(0).unwrap().mint().unwrap();
     fleet.kill(0);
     assert!(is_unknown(&fleet.order(1, &key, Upstream::Answers).await));
     fleet.start(0);
-    fleet.list(1, &[0, 1, 2], &[0]);
+    fleet.set_list(1, &[0, 1, 2], &[0]);
     assert!(is_unknown(&fleet.order(0, &key, Upstream::Answers).await));
     assert_eq!(fleet.runs(&key), 0);
 }
 
 #[compio::test]
-async fn conflict_is_told_by_any_daemon() {
+async fn conflict_is_detected_by_any_daemon() {
     let fleet = Fleet::started(5, 12).await;
     let minted = fleet.once(4).unwrap().mint().unwrap();
     for key in [minted.as_str(), "plain"] {
@@ -293,15 +297,15 @@
 }
 
 #[compio::test]
-async fn given_up_call_releases_or_settles() {
+async fn cancelled_call_releases_or_settles_its_claim() {
     let fleet = Fleet::started(3, 13).await;
-    let early = fleet.order(0, "early", Upstream::Late(200));
+    let early = fleet.order(0, "early", Upstream::StartsLate(200));
     let _ = compio::time::timeout(Duration::from_millis(30), early).await;
-    a_while().await;
+    short_pause().await;
     assert!(is_answer(&fleet.order(1, "early", Upstream::Answers).await));
     let begun = fleet.order(0, "begun", Upstream::Slow(200));
     let _ = compio::time::timeout(Duration::from_millis(30), begun).await;
-    a_while().await;
+    short_pause().await;
     assert!(is_unknown(
         &fleet.order(1, "begun", Upstream::Answers).await
     ));
--- a/crates/once/tests/random.rs
+++ b/crates/once/tests/random.rs
@@ -1,28 +1,28 @@
 //! Random sequences of orders and faults with fixed seeds.
 //!
-//! The scripts are the same in each run; how their steps interleave depends on
-//! the machine, so a run is one sample of what a seed may bring about.
+//! The scripts are the same in each run, but the interleaving of their steps
+//! depends on the machine, so a run is only one sample for its seed.
 
 mod fleet;
 mod script;
 
-use mangofront_once::Weakness;
+use mangofront_once::DisabledSafeguard;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
-use script::{Faults, Script, Tally, play_all};
+use script::{Faults, Script, Tally, run_all};
 
 const SCRIPTS_AT_ONCE: usize = 25;
 const SIZE: usize = 50;
 const BATCHES: u64 = 4;
 
-/// Batches of scripts in a run; `ONCE_BATCHES` asks for a longer one.
+/// Number of batches of scripts in a run; `ONCE_BATCHES` overrides the default.
 fn batches() -> u64 {
-    let wanted = std::env::var("ONCE_BATCHES").ok();
-    wanted
-        .and_then(|wanted| wanted.parse().ok())
+    let requested = std::env::var("ONCE_BATCHES").ok();
+    requested
+        .and_then(|requested| requested.parse().ok())
         .unwrap_or(BATCHES)
 }
 
-/// Scripts that run side by side, for they mostly wait.
+/// Scripts that run concurrently, as each mostly waits.
 #[derive(Debug, Clone)]
 struct Batch(Vec<Script>);
 
@@ -36,13 +36,13 @@
     }
 }
 
-fn holds(batch: Batch, faults: Faults) -> TestResult {
-    let tally = play_all(&batch.0, faults, Weakness::None);
+fn check_batch(batch: Batch, faults: Faults) -> TestResult {
+    let tally = run_all(&batch.0, faults, DisabledSafeguard::None);
     println!("{tally:?}");
-    if tally.breaches.is_empty() {
+    if tally.violations.is_empty() {
         TestResult::from_bool(tally.answers > 0)
     } else {
-        TestResult::error(tally.breaches.join("; "))
+        TestResult::error(tally.violations.join("; "))
     }
 }
 
@@ -55,38 +55,38 @@
 }
 
 #[test]
-fn at_most_once_under_deaths_cuts_and_freezes() {
-    check(1, |batch| holds(batch, Faults::FixedList));
+fn at_most_once_under_crashes_partitions_and_freezes() {
+    check(1, |batch| check_batch(batch, Faults::FixedList));
 }
 
 #[test]
 fn at_most_once_under_changing_lists() {
-    check(2, |batch| holds(batch, Faults::ChangingList));
+    check(2, |batch| check_batch(batch, Faults::ChangingList));
 }
 
-/// Plays batches until one breaks a promise.
-fn weakened(seed: u64, faults: Faults, weakness: Weakness) -> Tally {
+/// Runs batches until one violates a guarantee.
+fn run_until_violation(seed: u64, faults: Faults, disabled: DisabledSafeguard) -> Tally {
     let mut generator = Gen::from_size_and_seed(SIZE, seed);
     let mut tally = Tally::default();
     for _ in 0..6 {
         let Batch(scripts) = Batch::arbitrary(&mut generator);
-        tally = play_all(&scripts, faults, weakness);
-        if !tally.breaches.is_empty() {
+        tally = run_all(&scripts, faults, disabled);
+        if !tally.violations.is_empty() {
             break;
         }
     }
-    println!("{weakness:?}: {tally:?}");
+    println!("{disabled:?}: {tally:?}");
     tally
 }
 
 #[test]
-fn a_majority_of_one_runs_twice() {
-    let tally = weakened(1, Faults::FixedList, Weakness::MajorityOfOne);
-    assert!(!tally.breaches.is_empty());
+fn keys_run_twice_when_one_grant_is_enough() {
+    let tally = run_until_violation(1, Faults::FixedList, DisabledSafeguard::Majority);
+    assert!(!tally.violations.is_empty());
 }
 
 #[test]
-fn voters_that_do_not_synchronise_run_twice() {
-    let tally = weakened(2, Faults::ChangingList, Weakness::NoSynchronisation);
-    assert!(!tally.breaches.is_empty());
+fn keys_run_twice_when_voters_do_not_synchronise() {
+    let tally = run_until_violation(2, Faults::ChangingList, DisabledSafeguard::Synchronisation);
+    assert!(!tally.violations.is_empty());
 }
--- a/crates/once/tests/reading.rs
+++ b/crates/once/tests/reading.rs
@@ -1,4 +1,4 @@
-//! A voter that may not vote yet reads the others with growing pauses.
+//! A voter that may not vote yet reads the other voters with growing pauses.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,11 +10,11 @@
 use mangofront_once::{ListedInstance, Once, OnceOptions, Transport, TransportError, VoterView};
 use mangofront_settings::ids::InstanceId;
 
-/// Counts the calls to voters that answer nothing of use.
+/// Counts the calls; each is answered with an empty message.
 #[derive(Debug, Default)]
-struct Vain(Cell<u32>);
+struct UselessTransport(Cell<u32>);
 
-impl Transport for Vain {
+impl Transport for UselessTransport {
     fn call(
         &self,
         _to: &InstanceId,
@@ -27,24 +27,24 @@
 }
 
 #[compio::test]
-async fn vain_readings_grow_rare() {
-    let exchange = Rc::new(Vain::default());
+async fn pauses_grow_while_reads_make_no_progress() {
+    let transport = Rc::new(UselessTransport::default());
     let options = OnceOptions::new("entry-0".to_owned(), 1).poll_interval(Duration::from_millis(2));
-    let carried: Rc<dyn Transport> = Rc::<Vain>::clone(&exchange);
-    let once = Once::new(options, carried);
-    let voter = |number: u32| ListedInstance {
+    let dyn_transport: Rc<dyn Transport> = Rc::<UselessTransport>::clone(&transport);
+    let once = Once::new(options, dyn_transport);
+    let instance = |number: u32| ListedInstance {
         instance: format!("entry-{number}"),
         availability_zone: "hall-a".to_owned(),
     };
     once.set_view(&VoterView {
         list_revision: 1,
-        listed: (0..3).map(voter).collect(),
+        listed: (0..3).map(instance).collect(),
     });
-    let maintaining = compio::runtime::spawn(once.maintain());
+    let maintenance = compio::runtime::spawn(once.maintain());
     compio::time::sleep(Duration::from_millis(600)).await;
-    drop(maintaining);
-    // Pauses of 4, 8, ... ms: nine readings of two voters, where an even pause
-    // would make up to three hundred. A slow machine only makes fewer.
-    let calls = exchange.0.get();
+    drop(maintenance);
+    // With pauses of 4, 8, ... ms, two voters are read at most nine times; with a
+    // constant pause it would be up to 300 times. A slow machine makes fewer reads.
+    let calls = transport.0.get();
     assert!((2..=18).contains(&calls), "{calls} calls");
 }
--- a/crates/once/tests/script/mod.rs
+++ b/crates/once/tests/script/mod.rs
@@ -1,4 +1,4 @@
-//! Random scripts and what must hold while they are played.
+//! Random scripts of orders and faults, and the guarantees checked in their runs.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,16 +8,16 @@
 use compio::runtime::Runtime;
 use compio::time::sleep;
 use futures_util::future::join_all;
-use mangofront_once::{Decision, Weakness};
+use mangofront_once::{Decision, DisabledSafeguard};
 use quickcheck::{Arbitrary, Gen};
 
-use crate::fleet::{Fleet, Noise, Upstream, time_key};
+use crate::fleet::{Fleet, LinkFaults, Upstream, uuid_v7_key};
 
 const DAEMONS: usize = 5;
-const SPARES: usize = 3;
+const SPARE_DAEMONS: usize = 3;
 const KEYS: u8 = 4;
 
-/// Which faults a script may hold.
+/// Faults that a script may contain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Faults {
     FixedList,
@@ -36,8 +36,8 @@
         home: u8,
         upstream: Upstream,
     },
-    /// By a key that tells its own time; an old key or a new one.
-    OrderTimed {
+    /// With a UUIDv7 key, either new or used before.
+    OrderUuidV7 {
         at: u8,
         key: u8,
         upstream: Upstream,
@@ -45,29 +45,30 @@
     Kill(u8),
     Restart {
         number: u8,
-        lagging: bool,
+        with_previous_list: bool,
     },
     HandOver(u8),
     Freeze(u8),
-    Thaw(u8),
-    Cut(u8),
+    Unfreeze(u8),
+    Partition(u8),
     Heal,
-    Noise {
+    LinkFaults {
         lost: bool,
-        doubled: bool,
+        duplicated: bool,
     },
-    /// Swaps a listed daemon for another; a bit each tells who hears of it.
-    Swap {
-        leaves: u8,
-        heard_by: u8,
+    /// Replaces a listed daemon; each bit of `informed` says whether a daemon gets
+    /// the new list.
+    ReplaceListed {
+        leaving: u8,
+        informed: u8,
     },
-    Rest(u8),
+    Wait(u8),
 }
 
 #[derive(Debug, Clone)]
 pub struct Script(Vec<Event>);
 
-/// What came of some scripts.
+/// Results of some scripts.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
     pub runs: u32,
@@ -75,7 +76,7 @@
     pub replays: u32,
     pub not_run: u32,
     pub unknown: u32,
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 fn upstream(generator: &mut Gen) -> Upstream {
@@ -85,9 +86,9 @@
             Upstream::Answers,
             Upstream::Answers,
             Upstream::Refuses,
-            Upstream::Breaks,
+            Upstream::BreaksConnection,
             Upstream::Slow(20),
-            Upstream::Late(15),
+            Upstream::StartsLate(15),
         ])
         .unwrap_or(&Upstream::Answers)
 }
@@ -102,7 +103,7 @@
                 key: other % KEYS,
                 upstream: upstream(generator),
             },
-            12 | 13 => Self::OrderTimed {
+            12 | 13 => Self::OrderUuidV7 {
                 at,
                 key: other % KEYS,
                 upstream: upstream(generator),
@@ -115,22 +116,22 @@
             16 | 17 => Self::Kill(at),
             18 | 19 => Self::Restart {
                 number: at,
-                lagging: other % 2 == 0,
+                with_previous_list: other % 2 == 0,
             },
             20 | 21 => Self::HandOver(at),
             22 => Self::Freeze(at),
-            23 | 24 => Self::Thaw(at),
-            25 => Self::Cut(at),
+            23 | 24 => Self::Unfreeze(at),
+            25 => Self::Partition(at),
             26 | 27 => Self::Heal,
-            28 => Self::Noise {
+            28 => Self::LinkFaults {
                 lost: at % 2 == 0,
-                doubled: other % 2 == 0,
+                duplicated: other % 2 == 0,
             },
-            29 => Self::Swap {
-                leaves: at,
-                heard_by: other,
+            29 => Self::ReplaceListed {
+                leaving: at,
+                informed: other,
             },
-            _ => Self::Rest(at % 30),
+            _ => Self::Wait(at % 30),
         }
     }
 }
@@ -142,58 +143,58 @@
     }
 }
 
-/// Plays `scripts` side by side.
-pub fn play_all(scripts: &[Script], faults: Faults, weakness: Weakness) -> Tally {
+/// Runs `scripts` concurrently.
+pub fn run_all(scripts: &[Script], faults: Faults, disabled: DisabledSafeguard) -> Tally {
     let runtime = Runtime::new().expect("a runtime");
     runtime.block_on(async {
-        let plays = scripts
+        let runs = scripts
             .iter()
             .enumerate()
             .map(|(number, script)| async move {
-                let fleet = Fleet::started_weak(DAEMONS, number as u64, weakness).await;
-                let player = Player::new(fleet, faults);
-                player.play(script).await
+                let fleet = Fleet::started_without(DAEMONS, number as u64, disabled).await;
+                let runner = ScriptRunner::new(fleet, faults);
+                runner.run(script).await
             });
         let mut sum = Tally::default();
-        for tally in join_all(plays).await {
+        for tally in join_all(runs).await {
             sum.runs += tally.runs;
             sum.answers += tally.answers;
             sum.replays += tally.replays;
             sum.not_run += tally.not_run;
             sum.unknown += tally.unknown;
-            sum.breaches.extend(tally.breaches);
+            sum.violations.extend(tally.violations);
         }
         sum
     })
 }
 
-struct Player {
+struct ScriptRunner {
     fleet: Fleet,
     faults: Faults,
     tally: Rc<RefCell<Tally>>,
-    minted: BTreeMap<u8, String>,
-    timed: BTreeMap<u8, String>,
+    minted_keys: BTreeMap<u8, String>,
+    uuid_v7_keys: BTreeMap<u8, String>,
     listed: Vec<usize>,
-    former: Vec<usize>,
+    previous_list: Vec<usize>,
     revision: u64,
 }
 
-impl Player {
+impl ScriptRunner {
     fn new(fleet: Fleet, faults: Faults) -> Self {
         let listed: Vec<usize> = (0..DAEMONS).collect();
         Self {
             fleet,
             faults,
             tally: Rc::default(),
-            minted: BTreeMap::new(),
-            timed: BTreeMap::new(),
-            former: listed.clone(),
+            minted_keys: BTreeMap::new(),
+            uuid_v7_keys: BTreeMap::new(),
+            previous_list: listed.clone(),
             listed,
             revision: 1,
         }
     }
 
-    async fn play(mut self, Script(events): &Script) -> Tally {
+    async fn run(mut self, Script(events): &Script) -> Tally {
         let mut orders = Vec::new();
         for event in events {
             match event {
@@ -205,19 +206,23 @@
                         orders.push(self.order(*at, key, *upstream));
                     }
                 }
-                Event::OrderTimed { at, key, upstream } => {
-                    let key = self.timed.entry(*key).or_insert_with(time_key).clone();
+                Event::OrderUuidV7 { at, key, upstream } => {
+                    let key = self
+                        .uuid_v7_keys
+                        .entry(*key)
+                        .or_insert_with(uuid_v7_key)
+                        .clone();
                     orders.push(self.order(*at, key, *upstream));
                 }
-                other => self.disturb(other).await,
+                other => self.apply_event(other).await,
             }
             sleep(Duration::from_millis(1)).await;
         }
-        for number in 0..DAEMONS + SPARES {
-            self.fleet.thaw(number);
+        for number in 0..DAEMONS + SPARE_DAEMONS {
+            self.fleet.unfreeze(number);
         }
         self.fleet.heal();
-        self.fleet.noise(Noise::default());
+        self.fleet.set_link_faults(LinkFaults::default());
         for order in orders {
             order.await.expect("no panic");
         }
@@ -225,11 +230,15 @@
         self.tally.take()
     }
 
-    /// Retries each key everywhere once all faults are over.
+    /// Retries each key at several daemons after all faults have ended.
     async fn retry_all(&mut self) {
-        let minted = self.minted.values().chain(self.timed.values()).cloned();
+        let minted_keys = self
+            .minted_keys
+            .values()
+            .chain(self.uuid_v7_keys.values())
+            .cloned();
         let plain = (0..KEYS).map(|key| format!("plain-{key}"));
-        let keys: Vec<String> = plain.chain(minted).collect();
+        let keys: Vec<String> = plain.chain(minted_keys).collect();
         for number in [0, 2, 4] {
             let calls = keys
                 .iter()
@@ -241,20 +250,20 @@
             let runs = self.fleet.runs(&key);
             tally.runs += runs;
             if runs > 1 {
-                tally.breaches.push(format!("{key} ran {runs} times"));
+                tally.violations.push(format!("{key} ran {runs} times"));
             }
         }
         if self.fleet.violations() > 0 {
             tally
-                .breaches
-                .push("the invariant at_most_once was broken".to_owned());
+                .violations
+                .push("the invariant at_most_once was violated".to_owned());
         }
     }
 
     fn order(&self, at: u8, key: String, upstream: Upstream) -> compio::runtime::JoinHandle<()> {
         let fleet = self.fleet.clone();
         let tally = Rc::clone(&self.tally);
-        let at = self.someone(at);
+        let at = self.listed_daemon(at);
         compio::runtime::spawn(async move {
             let decision = fleet.order(at, &key, upstream).await;
             let ran = fleet.runs(&key) > 0;
@@ -265,88 +274,94 @@
                 Some(Decision::NotRun { reason, .. }) => {
                     tally.not_run += 1;
                     if ran {
-                        tally.breaches.push(format!("{key} ran, then: {reason}"));
+                        tally.violations.push(format!("{key} ran, then: {reason}"));
                     }
                 }
                 Some(Decision::Unknown { .. }) => tally.unknown += 1,
-                Some(Decision::Failed(error)) => tally.breaches.push(error.to_string()),
+                Some(Decision::Failed(error)) => tally.violations.push(error.to_string()),
                 None => {}
             }
         })
     }
 
     fn minted_by(&mut self, home: u8) -> Option<String> {
-        if !self.minted.contains_key(&home) {
-            let once = self.fleet.once(self.someone(home))?;
-            self.minted.insert(home, once.mint().ok()?);
+        if !self.minted_keys.contains_key(&home) {
+            let once = self.fleet.once(self.listed_daemon(home))?;
+            self.minted_keys.insert(home, once.mint().ok()?);
         }
-        self.minted.get(&home).cloned()
+        self.minted_keys.get(&home).cloned()
     }
 
-    /// A listed daemon.
-    fn someone(&self, number: u8) -> usize {
+    /// Maps `number` to a listed daemon.
+    fn listed_daemon(&self, number: u8) -> usize {
         self.listed[usize::from(number) % self.listed.len()]
     }
 
-    async fn disturb(&mut self, event: &Event) {
+    async fn apply_event(&mut self, event: &Event) {
         match event {
-            Event::Kill(number) => self.fleet.kill(self.someone(*number)),
-            Event::Restart { number, lagging } => self.restart(self.someone(*number), *lagging),
+            Event::Kill(number) => self.fleet.kill(self.listed_daemon(*number)),
+            Event::Restart {
+                number,
+                with_previous_list,
+            } => self.restart(self.listed_daemon(*number), *with_previous_list),
             Event::HandOver(number) => {
-                if let Some(once) = self.fleet.once(self.someone(*number)) {
+                if let Some(once) = self.fleet.once(self.listed_daemon(*number)) {
                     compio::runtime::spawn(async move {
                         once.hand_over().await;
                     })
                     .detach();
                 }
             }
-            Event::Freeze(number) => self.fleet.freeze(self.someone(*number)),
-            Event::Thaw(number) => self.fleet.thaw(self.someone(*number)),
-            Event::Cut(mask) => {
-                let away = (0..DAEMONS + SPARES).filter(|number| mask >> (number % 8) & 1 == 1);
-                self.fleet.cut(&away.collect::<Vec<_>>());
+            Event::Freeze(number) => self.fleet.freeze(self.listed_daemon(*number)),
+            Event::Unfreeze(number) => self.fleet.unfreeze(self.listed_daemon(*number)),
+            Event::Partition(mask) => {
+                let isolated =
+                    (0..DAEMONS + SPARE_DAEMONS).filter(|number| mask >> (number % 8) & 1 == 1);
+                self.fleet.partition(&isolated.collect::<Vec<_>>());
             }
             Event::Heal => self.fleet.heal(),
-            Event::Noise { lost, doubled } => self.fleet.noise(Noise {
+            Event::LinkFaults { lost, duplicated } => self.fleet.set_link_faults(LinkFaults {
                 lost_percent: if *lost { 15 } else { 0 },
-                doubled_percent: if *doubled { 15 } else { 0 },
+                duplicated_percent: if *duplicated { 15 } else { 0 },
                 delay_ms: 3,
             }),
-            Event::Swap { leaves, heard_by } => self.swap(*leaves, *heard_by),
-            Event::Rest(rest_ms) => sleep(Duration::from_millis((*rest_ms).into())).await,
-            Event::Order { .. } | Event::OrderMinted { .. } | Event::OrderTimed { .. } => {}
+            Event::ReplaceListed { leaving, informed } => self.replace_listed(*leaving, *informed),
+            Event::Wait(wait_ms) => sleep(Duration::from_millis((*wait_ms).into())).await,
+            Event::Order { .. } | Event::OrderMinted { .. } | Event::OrderUuidV7 { .. } => {}
         }
     }
 
-    fn restart(&mut self, number: usize, lagging: bool) {
+    fn restart(&mut self, number: usize, with_previous_list: bool) {
         self.fleet.kill(number);
-        self.fleet.thaw(number);
+        self.fleet.unfreeze(number);
         self.fleet.start(number);
-        if lagging && self.revision > 1 {
-            self.fleet.list(self.revision - 1, &self.former, &[number]);
+        if with_previous_list && self.revision > 1 {
+            self.fleet
+                .set_list(self.revision - 1, &self.previous_list, &[number]);
         } else {
-            self.fleet.list(self.revision, &self.listed, &[number]);
+            self.fleet.set_list(self.revision, &self.listed, &[number]);
         }
     }
 
-    fn swap(&mut self, leaves: u8, heard_by: u8) {
+    fn replace_listed(&mut self, leaving: u8, informed: u8) {
         if self.faults == Faults::FixedList {
             return;
         }
-        let all = 0..DAEMONS + SPARES;
-        let Some(joins) = all.clone().find(|number| !self.listed.contains(number)) else {
+        let all = 0..DAEMONS + SPARE_DAEMONS;
+        let Some(joining) = all.clone().find(|number| !self.listed.contains(number)) else {
             return;
         };
-        self.former = self.listed.clone();
+        self.previous_list = self.listed.clone();
         self.revision += 1;
-        let place = usize::from(leaves) % self.listed.len();
-        self.listed[place] = joins;
-        if self.fleet.once(joins).is_none() {
-            self.fleet.start(joins);
+        let place = usize::from(leaving) % self.listed.len();
+        self.listed[place] = joining;
+        if self.fleet.once(joining).is_none() {
+            self.fleet.start(joining);
         }
-        let hearers: Vec<usize> = all
-            .filter(|number| *number == joins || heard_by >> (number % 8) & 1 == 1)
+        let informed_daemons: Vec<usize> = all
+            .filter(|number| *number == joining || informed >> (number % 8) & 1 == 1)
             .collect();
-        self.fleet.list(self.revision, &self.listed, &hearers);
+        self.fleet
+            .set_list(self.revision, &self.listed, &informed_daemons);
     }
 }
