--- a/crates/orders/examples/embed.rs
+++ b/crates/orders/examples/embed.rs
@@ -1,7 +1,8 @@
-//! Orders without a daemon: one emulated engine gets a version and an adapter.
+//! Use without the daemon: one emulated engine gets a version and an adapter.
 //!
-//! The embedder knows who is alive and what is published; here both are made
-//! up. It hands its view in several times a lease, for as long as it holds.
+//! A real embedder knows which daemons are alive and what is published; here both
+//! are fixed. The view is set several times within a lease, for as long as it is
+//! valid.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -17,8 +18,8 @@
 use mangofront_standin::engine::{EngineSettings, run};
 use mangofront_upstream::{Connections, ConnectionsOptions};
 
-/// Pause between two views, well within the lease of 3 s.
-const VIEW_PAUSE: Duration = Duration::from_millis(100);
+/// Interval between two views, well within the lease of 3 s.
+const VIEW_INTERVAL: Duration = Duration::from_millis(100);
 
 #[compio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
@@ -33,7 +34,7 @@
     let _engine = compio::runtime::spawn(run(listener, settings, stopped));
 
     let options = OrdersOptions::builder(Connections::new(ConnectionsOptions::default()))
-        .poll_interval(VIEW_PAUSE)
+        .poll_interval(VIEW_INTERVAL)
         .on_change(|change| {
             let what = match change.order.kind {
                 OrderKind::Version => "another version",
@@ -49,7 +50,7 @@
     let orders = Orders::new(options);
     loop {
         orders.set_view(view(address));
-        compio::time::sleep(VIEW_PAUSE).await;
+        compio::time::sleep(VIEW_INTERVAL).await;
         let status = orders.status();
         let engine = status.engines.get("engine-0");
         if engine.is_some_and(|engine| engine.phase == Phase::Settled) {
@@ -59,7 +60,7 @@
     }
 }
 
-/// What this embedder knows: it is alone, with one engine.
+/// A view with one daemon and one engine.
 fn view(address: SocketAddr) -> OrdersView {
     let zone = "hall-a".to_owned();
     let model = Model {
--- a/crates/orders/src/backoff.rs
+++ b/crates/orders/src/backoff.rs
@@ -1,8 +1,8 @@
-//! Limits on saying the same thing again.
+//! Exponential backoff for repeated orders.
 //!
-//! An order that has to be repeated means that the engine fails to carry it
-//! out, or that somebody else orders otherwise. Either way haste does harm: a
-//! load takes an engine out of service.
+//! If an order has to be repeated, either the engine fails to carry it out or
+//! another daemon sends conflicting orders. In both cases fast repetition is
+//! harmful, as an engine serves no requests while it loads.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,32 +11,32 @@
 
 use crate::message::Order;
 
-/// Doublings after which a pause grows no more, so that it can't overflow.
+/// Most doublings of the pause, so that the factor can't overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Orders sent to one life of one engine under one configuration.
+/// Orders sent to one incarnation of one engine under one configuration.
 #[derive(Debug, Default)]
-pub(crate) struct Repeats {
+pub(crate) struct RepeatLimiter {
     scope: (Incarnation, Revision),
-    sent: HashMap<Order, Sent>,
+    sent: HashMap<Order, SentOrder>,
 }
 
 #[derive(Debug)]
-struct Sent {
+struct SentOrder {
     times: u32,
     last: Instant,
 }
 
-impl Repeats {
-    /// Forgets everything when the engine's life or the configuration is another.
-    pub(crate) fn enter(&mut self, engine: Incarnation, revision: Revision) {
+impl RepeatLimiter {
+    /// Clears the history when the engine's incarnation or the configuration changed.
+    pub(crate) fn set_scope(&mut self, engine: Incarnation, revision: Revision) {
         if self.scope != (engine, revision) {
             self.scope = (engine, revision);
             self.sent.clear();
         }
     }
 
-    /// Whether `order` may go out at `now`.
+    /// Whether `order` may be sent at `now`.
     pub(crate) fn may_send(
         &self,
         order: &Order,
@@ -51,9 +51,9 @@
         now.saturating_duration_since(sent.last) >= pause
     }
 
-    /// Notes that `order` goes out at `now`.
-    pub(crate) fn note(&mut self, order: &Order, now: Instant) {
-        let sent = self.sent.entry(order.clone()).or_insert(Sent {
+    /// Records that `order` is sent at `now`.
+    pub(crate) fn record_sent(&mut self, order: &Order, now: Instant) {
+        let sent = self.sent.entry(order.clone()).or_insert(SentOrder {
             times: 0,
             last: now,
         });
--- a/crates/orders/src/change.rs
+++ b/crates/orders/src/change.rs
@@ -1,39 +1,39 @@
-//! What happened to an order.
+//! Report of a sent order.
 
 use mangofront_settings::ids::InstanceId;
 
 use crate::message::{LoadState, Order};
 use crate::token::FencingToken;
 
-/// One order that was written towards an engine.
+/// An order that was sent to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderChange {
     /// Engine's instance.
     pub engine: InstanceId,
-    /// What was ordered.
+    /// The order.
     pub order: Order,
-    /// Token it carried.
+    /// Fencing token that it contained.
     pub token: FencingToken,
-    /// What came of it.
+    /// Outcome.
     pub outcome: OrderOutcome,
 }
 
-/// What came of an order.
+/// Outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The engine took it.
+    /// The engine accepted it.
     Taken {
-        /// Whether it is in force yet.
+        /// Whether it is already in force.
         state: LoadState,
     },
     /// The engine refused it, for instance for its token.
     Refused {
-        /// Code and words of the engine.
+        /// Error code and message of the engine.
         reason: String,
     },
-    /// No answer came; the engine may have taken it.
+    /// No answer was received; the engine may have accepted it.
     Unknown {
-        /// Step that failed, with its cause.
+        /// Failed step and its cause.
         reason: String,
     },
 }
--- a/crates/orders/src/exchange.rs
+++ b/crates/orders/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to engines.
+//! HTTP calls to engines.
 
 use std::time::Instant;
 
@@ -16,7 +16,7 @@
 /// Largest answer to an order, in bytes.
 const ANSWER_LIMIT_BYTES: usize = 16 * 1024;
 
-/// Reads what an engine has.
+/// Reads the state of an engine.
 pub(crate) async fn read_state(
     connections: &Connections,
     target: &Target,
@@ -35,7 +35,8 @@
     })
 }
 
-/// Opens a connection for one order, so that the last check can come after it.
+/// Opens a connection for one order, so that the last check before the send can
+/// follow it.
 pub(crate) async fn open(
     connections: &Connections,
     target: &Target,
@@ -48,7 +49,7 @@
     })
 }
 
-/// The order as a request.
+/// Encodes an order as a request.
 pub(crate) fn request(
     target: &Target,
     order: &Order,
@@ -72,7 +73,7 @@
         .map_err(|error| failed(error.to_string()))
 }
 
-/// Writes the order and waits for the answer.
+/// Sends an order and waits for the answer.
 pub(crate) async fn send(
     opened: Opened,
     request: Request<Full<Bytes>>,
@@ -86,7 +87,7 @@
     };
     match answered.await {
         Ok((status, body)) if status.is_success() => OrderOutcome::Taken {
-            state: taken_state(&body),
+            state: accepted_state(&body),
         },
         Ok((status, body)) => OrderOutcome::Refused {
             reason: match serde_json::from_slice::<ErrorBody>(&body) {
@@ -100,8 +101,8 @@
     }
 }
 
-/// An answer without a state is taken for the longer way; the next read tells.
-fn taken_state(body: &[u8]) -> LoadState {
+/// An answer without a state counts as loading until the next read of the state.
+fn accepted_state(body: &[u8]) -> LoadState {
     let answer = serde_json::from_slice::<OrderAnswer>(body);
     answer.map_or(LoadState::Loading, |answer| answer.state)
 }
--- a/crates/orders/src/desired.rs
+++ b/crates/orders/src/desired.rs
@@ -1,25 +1,25 @@
-//! The state desired of an engine, and the order that is missing.
+//! Desired state of an engine, and the next order needed to reach it.
 
 use mangofront_settings::ids::ModelName;
 
 use crate::message::{EngineReport, Order, OrderKind};
 use crate::view::{EngineRole, OrdersEngine, OrdersView};
 
-/// What an engine should serve.
+/// State that an engine should have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DesiredState {
-    /// Model, as the platform lists the engine.
+    /// Model for which the platform lists the engine.
     pub model: ModelName,
-    /// Version; `None` leaves model and version alone.
+    /// Version; `None` leaves model and version unchanged.
     pub version: Option<String>,
-    /// Adapters that should be loaded; others may be there besides.
+    /// Adapters that should be loaded; additional ones are allowed.
     pub adapters: Vec<String>,
-    /// Role; `None` leaves it alone.
+    /// Role; `None` leaves it unchanged.
     pub role: Option<EngineRole>,
 }
 
 impl DesiredState {
-    /// The state that `view` desires of `engine`; `None` when its model isn't published.
+    /// The desired state of `engine` in `view`; `None` when its model is not published.
     #[must_use]
     pub fn of(view: &OrdersView, engine: &OrdersEngine) -> Option<Self> {
         let model = view.models.get(&engine.model)?;
@@ -31,9 +31,10 @@
         })
     }
 
-    /// The first order that `report` lacks; `None` when all is in force.
+    /// The next order needed according to `report`; `None` when the engine is in its
+    /// desired state.
     ///
-    /// The role comes first as it loads nothing.
+    /// The role comes first, as changing it loads nothing.
     #[must_use]
     pub fn next_order(&self, report: &EngineReport) -> Option<Order> {
         match self.role.filter(|role| *role != report.role) {
@@ -42,25 +43,25 @@
         }
     }
 
-    /// The order that puts an engine right that loads something else.
+    /// The order for an engine that is loading something else than desired.
     ///
-    /// What it loads is not reported. While it loads away from the desired
-    /// state (after a roll-back, say), that state may be in force, and yet the
-    /// version has to be stated again.
+    /// The engine does not report what it loads. While it loads another version (for
+    /// instance after a rollback), the desired state may still be in force, but the
+    /// version has to be ordered again.
     #[must_use]
     pub fn order_while_loading(&self, report: &EngineReport) -> Option<Order> {
         let version = self.version.as_ref();
-        let restated = || order(OrderKind::Version, version?);
-        self.next_order(report).or_else(restated)
+        let version_order = || order(OrderKind::Version, version?);
+        self.next_order(report).or_else(version_order)
     }
 
-    /// The first order that `report` lacks and that loads something.
+    /// The next order needed according to `report` that loads something.
     ///
-    /// Adapters come last as another model or version drops them.
+    /// Adapters come last, as a change of model or version drops them.
     #[must_use]
     pub fn next_load(&self, report: &EngineReport) -> Option<Order> {
         if self.model != report.model {
-            // Nobody published a version of this model: the list may lag.
+            // No version of this model is published: the instance list may be stale.
             self.version.as_ref()?;
             return order(OrderKind::Model, &self.model);
         }
--- a/crates/orders/src/error.rs
+++ b/crates/orders/src/error.rs
@@ -1,4 +1,4 @@
-//! Reasons why an order did not go out or was not taken.
+//! Errors of reading an engine's state and of sending an order.
 
 use mangofront_settings::ids::InstanceId;
 use mangofront_upstream::SendError;
@@ -6,37 +6,37 @@
 
 use crate::token::Outdated;
 
-/// A step of an order that failed.
+/// A failed step of an order.
 #[derive(Debug, Error)]
 pub enum OrderError {
-    /// The engine could not be read or reached.
+    /// The engine's state could not be read, or no connection could be opened.
     #[error("{step}: {cause}")]
     Call {
-        /// What was tried.
+        /// Step that failed.
         step: &'static str,
-        /// Error of the call; it names the engine.
+        /// Error of the call, which names the engine.
         cause: SendError,
     },
-    /// This daemon's configuration is older than what the engine has seen.
+    /// The engine has seen an order under a newer configuration than this daemon's.
     #[error("order to {peer}: {cause}")]
     Outdated {
         /// Engine's instance.
         peer: InstanceId,
-        /// Both revisions.
+        /// The revisions.
         cause: Outdated,
     },
-    /// The lease ended between the decision and the send; nothing was sent.
-    #[error("order to {peer}: the view ran out before it was sent")]
+    /// The lease of the view or the responsibility ended before the order was sent.
+    #[error("order to {peer}: the lease of the view ended before the order was sent")]
     LeaseLost {
         /// Engine's instance.
         peer: InstanceId,
     },
-    /// The order could not be written as a request.
+    /// The order could not be encoded as a request.
     #[error("order to {peer}: {cause}")]
     Request {
         /// Engine's instance.
         peer: InstanceId,
-        /// Library's words.
+        /// Error message of the library.
         cause: String,
     },
 }
--- a/crates/orders/src/message.rs
+++ b/crates/orders/src/message.rs
@@ -1,4 +1,4 @@
-//! What goes to engines and what they report.
+//! Orders to engines and reports of engines.
 
 use std::fmt;
 
@@ -11,7 +11,7 @@
 /// Body of `GET /v1/state`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Life of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: Incarnation,
     /// Model in force.
     pub model: ModelName,
@@ -21,33 +21,33 @@
     pub adapters: Vec<String>,
     /// Role in force.
     pub role: EngineRole,
-    /// Whether anything is being loaded.
+    /// Whether the engine is loading.
     pub state: LoadState,
-    /// Greatest token taken; `None` of an engine that ignores them.
+    /// Greatest accepted token; `None` if the engine ignores tokens.
     pub highest_token: Option<FencingToken>,
 }
 
-/// Whether what was ordered is in force.
+/// Whether an order is in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadState {
-    /// Still fetched or loaded.
+    /// Weights are being fetched or loaded.
     Loading,
     /// In force.
     Ready,
 }
 
-/// What an order is about.
+/// Property that an order sets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
     /// Serve another model.
     Model,
-    /// Load an adapter besides.
+    /// Load an additional adapter.
     Adapter,
     /// Serve another version of the model.
     Version,
-    /// Work for another phase.
+    /// Work for another phase of requests.
     Role,
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether it fetches weights.
+    /// Whether an order of this kind makes the engine fetch weights.
     #[must_use]
     pub fn loads(self) -> bool {
         match self {
@@ -76,9 +76,9 @@
 /// One order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// What it is about.
+    /// Property that it sets.
     pub kind: OrderKind,
-    /// Value desired.
+    /// Desired value.
     pub value: String,
 }
 
@@ -95,7 +95,7 @@
     pub(crate) value: &'a str,
 }
 
-/// Answer to an order that was taken.
+/// Answer to an accepted order.
 #[derive(Debug, Deserialize)]
 pub(crate) struct OrderAnswer {
     pub(crate) state: LoadState,
--- a/crates/orders/src/options.rs
+++ b/crates/orders/src/options.rs
@@ -1,4 +1,4 @@
-//! Settings of [`crate::Orders`].
+//! Options of [`crate::Orders`].
 
 use std::fmt;
 use std::rc::Rc;
@@ -7,12 +7,13 @@
 use mangofront_upstream::Connections;
 
 use crate::change::OrderChange;
-use crate::turn::TurnLimits;
+use crate::turn::LoadLimits;
 
-/// Told of every order that was written, outside of any borrow.
+/// Callback for every order that was sent; called while no internal state is
+/// borrowed.
 pub type OnChange = Rc<dyn Fn(OrderChange)>;
 
-/// Settings of [`crate::Orders::new`].
+/// Options of [`crate::Orders::new`].
 #[derive(Clone)]
 pub struct OrdersOptions {
     pub(crate) connections: Connections,
@@ -24,7 +25,7 @@
     pub(crate) backoff_base: Duration,
     pub(crate) backoff_cap: Duration,
     pub(crate) loading_limit: Duration,
-    pub(crate) limits: TurnLimits,
+    pub(crate) limits: LoadLimits,
 }
 
 impl fmt::Debug for OrdersOptions {
@@ -40,7 +41,7 @@
 }
 
 impl OrdersOptions {
-    /// Options with every default; changes go to the log.
+    /// Default options, with which changes are logged.
     pub fn builder(connections: Connections) -> OrdersOptionsBuilder {
         OrdersOptionsBuilder(Self {
             connections,
@@ -52,7 +53,7 @@
             backoff_base: Duration::from_secs(5),
             backoff_cap: Duration::from_secs(300),
             loading_limit: Duration::from_secs(600),
-            limits: TurnLimits {
+            limits: LoadLimits {
                 loads_per_zone: 2,
                 share_percent: 25,
             },
@@ -60,68 +61,68 @@
     }
 }
 
-/// Sets options one by one; see [`OrdersOptions::builder`].
+/// Builder of [`OrdersOptions`]; see [`OrdersOptions::builder`].
 #[derive(Debug, Clone)]
 #[must_use]
 pub struct OrdersOptionsBuilder(OrdersOptions);
 
 impl OrdersOptionsBuilder {
-    /// Callback that is told each order that was written.
+    /// Callback for every order that was sent.
     pub fn on_change(mut self, on_change: impl Fn(OrderChange) + 'static) -> Self {
         self.0.on_change = Rc::new(on_change);
         self
     }
 
-    /// Time for which a view may be acted upon; 3 s by default.
+    /// Time for which a view is valid; 3 s by default.
     pub fn view_lease(mut self, lease: Duration) -> Self {
         self.0.view_lease = lease;
         self
     }
 
-    /// Time for an engine to answer a read or an order; 2 s by default.
+    /// Timeout of a read of an engine's state and of an order; 2 s by default.
     pub fn order_timeout(mut self, timeout: Duration) -> Self {
         self.0.order_timeout = timeout;
         self
     }
 
-    /// Time that a newly responsible daemon waits before it orders of engines
-    /// that ignore tokens; 12 s by default.
+    /// Time for which a newly responsible daemon waits before it sends orders to
+    /// engines that ignore tokens; 12 s by default.
     ///
-    /// It has to be longer than the view's lease, the time-out of an order and
-    /// the time in which daemons agree on who is alive, together.
+    /// Must be longer than the sum of the view's lease, the timeout of an order and
+    /// the time within which daemons agree on which daemons are alive.
     pub fn takeover_wait(mut self, wait: Duration) -> Self {
         self.0.takeover_wait = wait;
         self
     }
 
-    /// Time between two reads of an engine's state; 1 s by default.
+    /// Interval between two reads of an engine's state; 1 s by default.
     pub fn poll_interval(mut self, interval: Duration) -> Self {
         self.0.poll_interval = interval;
         self
     }
 
     /// First and longest pause before the same order is repeated to the same
-    /// life of an engine; 5 s and 5 min by default.
+    /// incarnation of an engine; 5 s and 5 min by default.
     pub fn backoff(mut self, base: Duration, cap: Duration) -> Self {
         self.0.backoff_base = base;
         self.0.backoff_cap = cap;
         self
     }
 
-    /// Time after which a load whose origin is unknown may be ordered over;
-    /// 10 min by default.
+    /// Time after which another order may be sent to an engine that is loading
+    /// something of unknown origin; 10 min by default.
     pub fn loading_limit(mut self, limit: Duration) -> Self {
         self.0.loading_limit = limit;
         self
     }
 
-    /// Limits of loads at one time; 2 a zone and 25 percent by default.
-    pub fn limits(mut self, limits: TurnLimits) -> Self {
+    /// Limits of concurrent loads; 2 per availability zone and 25 percent by default.
+    pub fn limits(mut self, limits: LoadLimits) -> Self {
         self.0.limits = limits;
         self
     }
 
-    /// The options.
+    /// Returns the options.
     #[must_use]
     pub fn build(self) -> OrdersOptions {
         self.0
--- a/crates/orders/src/orders.rs
+++ b/crates/orders/src/orders.rs
@@ -1,4 +1,4 @@
-//! The handle that embedders hold.
+//! Public handle of this crate.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,26 +8,26 @@
 use compio::runtime::{JoinHandle, spawn};
 use mangofront_settings::ids::InstanceId;
 
-use crate::clock::Moment;
-use crate::keeper::keep;
+use crate::assignment::responsible_daemon;
+use crate::clock::Timestamp;
 use crate::options::OrdersOptions;
-use crate::responsible::responsible;
-use crate::shared::{Held, Shared};
+use crate::reconciler::reconcile_engine;
+use crate::shared::{CurrentView, Shared};
 use crate::status::{EngineStatus, OrdersStatus, Phase};
 use crate::view::OrdersView;
 
-/// Orders of one daemon, bound to the runtime that it was made on.
+/// Handle to the orders of one daemon, bound to the runtime it was created on.
 ///
-/// Clones share one state; the tasks end with the last one. An order that was
-/// written by then is still told to the callback.
+/// Clones share their state; the tasks end when the last clone is dropped. The
+/// outcome of an order sent before that is still reported to the callback.
 #[derive(Clone)]
 pub struct Orders {
     shared: Rc<Shared>,
     tasks: Rc<RefCell<Tasks>>,
 }
 
-/// Invariant: one task for each engine that this daemon is responsible for by
-/// the last view, and as old as that responsibility.
+/// Invariant: there is one task for each engine that this daemon is responsible for
+/// according to the last view, running since the responsibility began.
 type Tasks = HashMap<InstanceId, JoinHandle<()>>;
 
 impl fmt::Debug for Orders {
@@ -39,7 +39,7 @@
 }
 
 impl Orders {
-    /// No engine until a view is set.
+    /// Creates the handle; no engine gets orders until a view is set.
     #[must_use]
     pub fn new(options: OrdersOptions) -> Self {
         Self {
@@ -48,80 +48,82 @@
         }
     }
 
-    /// Takes a view that is true now, and starts a new lease.
+    /// Sets the current view and starts a new lease.
     ///
-    /// To be called several times within a lease, and only while the embedder
-    /// can rely on its own sight of the others. Of a view with a lower revision
-    /// than before, the configuration is left out. After a lease ran out every
-    /// responsibility counts as new.
+    /// Must be called several times within a lease, and only while the embedder can
+    /// rely on its view of the other daemons. If the view has a lower revision than
+    /// the previous one, its configuration is ignored. After a lease has expired,
+    /// every responsibility counts as new.
     pub fn set_view(&self, view: OrdersView) {
         let lease = self.shared.options.view_lease;
-        let former = self.shared.held.borrow_mut().take();
-        let lapsed = former
+        let previous = self.shared.current_view.borrow_mut().take();
+        let expired = previous
             .as_ref()
-            .is_some_and(|held| held.since.age() >= lease);
-        let view = Rc::new(keep_floor(view, former));
-        *self.shared.held.borrow_mut() = Some(Held {
+            .is_some_and(|current| current.set_at.age() >= lease);
+        let view = Rc::new(keep_newest_configuration(view, previous));
+        *self.shared.current_view.borrow_mut() = Some(CurrentView {
             view: Rc::clone(&view),
-            since: Moment::now(),
+            set_at: Timestamp::now(),
         });
-        if lapsed {
-            log::info!("orders: the view had run out, every engine is taken over anew");
+        if expired {
+            log::info!("orders: the lease of the view had expired, taking over every engine again");
             self.tasks.borrow_mut().clear();
         }
-        self.set_tasks(&view);
+        self.update_tasks(&view);
     }
 
-    /// Orders now.
+    /// Current state for the status page.
     #[must_use]
     pub fn status(&self) -> OrdersStatus {
-        let held = self.shared.held.borrow();
+        let current_view = self.shared.current_view.borrow();
         OrdersStatus {
-            revision: held.as_ref().map_or(0, |held| held.view.revision),
+            revision: current_view
+                .as_ref()
+                .map_or(0, |current| current.view.revision),
             view_fresh: self.shared.fresh_view().is_some(),
             engines: self.shared.engines.borrow().clone(),
         }
     }
 
-    fn set_tasks(&self, view: &OrdersView) {
-        let own = own_engines(view);
+    fn update_tasks(&self, view: &OrdersView) {
+        let assigned = assigned_engines(view);
         let mut tasks = self.tasks.borrow_mut();
         let mut statuses = self.shared.engines.borrow_mut();
-        tasks.retain(|engine, _| own.contains(&engine));
-        statuses.retain(|engine, _| own.contains(&engine));
-        for engine in own {
+        tasks.retain(|engine, _| assigned.contains(&engine));
+        statuses.retain(|engine, _| assigned.contains(&engine));
+        for engine in assigned {
             tasks.entry(engine.clone()).or_insert_with(|| {
                 let status = EngineStatus {
                     phase: Phase::New,
                     order: None,
                 };
                 statuses.insert(engine.clone(), status);
-                spawn(keep(Rc::clone(&self.shared), engine.clone()))
+                spawn(reconcile_engine(Rc::clone(&self.shared), engine.clone()))
             });
         }
     }
 }
 
-/// Engines that fall to this daemon.
-fn own_engines(view: &OrdersView) -> Vec<&InstanceId> {
-    let stays = view.engines.iter().filter(|engine| !engine.leaving);
-    let published = stays.filter(|engine| view.models.contains_key(&engine.model));
-    let own =
-        published.filter(|engine| responsible(&view.daemons, engine) == Some(&view.own_instance));
-    own.map(|engine| &engine.instance).collect()
+/// Engines that this daemon is responsible for.
+fn assigned_engines(view: &OrdersView) -> Vec<&InstanceId> {
+    let staying = view.engines.iter().filter(|engine| !engine.leaving);
+    let published = staying.filter(|engine| view.models.contains_key(&engine.model));
+    let assigned = published
+        .filter(|engine| responsible_daemon(&view.daemons, engine) == Some(&view.own_instance));
+    assigned.map(|engine| &engine.instance).collect()
 }
 
-/// Replaces a configuration older than the one held.
-fn keep_floor(mut view: OrdersView, former: Option<Held>) -> OrdersView {
-    let Some(former) = former.filter(|held| held.view.revision > view.revision) else {
+/// Replaces the configuration of `view` if it is older than the previous one.
+fn keep_newest_configuration(mut view: OrdersView, previous: Option<CurrentView>) -> OrdersView {
+    let Some(previous) = previous.filter(|current| current.view.revision > view.revision) else {
         return view;
     };
     log::warn!(
-        "orders: configuration {} is older than {} and left out",
+        "orders: ignoring configuration {}, which is older than {}",
         view.revision,
-        former.view.revision
+        previous.view.revision
     );
-    view.revision = former.view.revision;
-    view.models.clone_from(&former.view.models);
+    view.revision = previous.view.revision;
+    view.models.clone_from(&previous.view.models);
     view
 }
--- a/crates/orders/src/shared.rs
+++ b/crates/orders/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the handle and the engines' tasks share.
+//! State shared by the handle and the tasks of engines.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -6,28 +6,28 @@
 
 use mangofront_settings::ids::{InstanceId, ModelName, Revision};
 
-use crate::clock::Moment;
+use crate::assignment::responsible_daemon;
+use crate::clock::Timestamp;
+use crate::engine_states::CachedReports;
 use crate::options::OrdersOptions;
-use crate::responsible::responsible;
 use crate::status::EngineStatus;
-use crate::survey::Survey;
 use crate::view::OrdersView;
 
-/// A view and the moment from which its lease runs.
+/// A view and the start of its lease.
 ///
-/// Invariant: `view.revision` never falls from one view to the next.
+/// Invariant: `view.revision` never decreases from one view to the next.
 #[derive(Debug, Clone)]
-pub(crate) struct Held {
+pub(crate) struct CurrentView {
     pub(crate) view: Rc<OrdersView>,
-    pub(crate) since: Moment,
+    pub(crate) set_at: Timestamp,
 }
 
-/// State of [`crate::Orders`].
+/// Shared state of [`crate::Orders`].
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) options: OrdersOptions,
-    pub(crate) held: RefCell<Option<Held>>,
-    pub(crate) surveys: RefCell<HashMap<ModelName, Survey>>,
+    pub(crate) current_view: RefCell<Option<CurrentView>>,
+    pub(crate) cached_reports: RefCell<HashMap<ModelName, CachedReports>>,
     pub(crate) engines: RefCell<BTreeMap<InstanceId, EngineStatus>>,
 }
 
@@ -35,34 +35,37 @@
     pub(crate) fn new(options: OrdersOptions) -> Self {
         Self {
             options,
-            held: RefCell::default(),
-            surveys: RefCell::default(),
+            current_view: RefCell::default(),
+            cached_reports: RefCell::default(),
             engines: RefCell::default(),
         }
     }
 
-    /// The view, while its lease runs.
+    /// The current view; `None` once its lease has expired.
     pub(crate) fn fresh_view(&self) -> Option<Rc<OrdersView>> {
-        let held = self.held.borrow();
-        let fresh = |held: &&Held| held.since.age() < self.options.view_lease;
-        held.as_ref()
+        let current_view = self.current_view.borrow();
+        let fresh = |current: &&CurrentView| current.set_at.age() < self.options.view_lease;
+        current_view
+            .as_ref()
             .filter(fresh)
-            .map(|held| Rc::clone(&held.view))
+            .map(|current| Rc::clone(&current.view))
     }
 
-    /// The check right before an order is written.
+    /// The check immediately before an order is sent.
     ///
-    /// True while this daemon is responsible by a fresh view of the same
-    /// revision, and the engine was read at `read_at` within one lease. A
-    /// process that was paused since its decision fails here.
-    pub(crate) fn may_send(&self, engine: &str, revision: Revision, read_at: Moment) -> bool {
+    /// True if this daemon is responsible for the engine according to a valid view
+    /// of the same revision, and read the engine's state at `read_at` within one
+    /// lease. Fails in a process that was paused for too long after its decision.
+    pub(crate) fn may_send(&self, engine: &str, revision: Revision, read_at: Timestamp) -> bool {
         let Some(view) = self.fresh_view() else {
             return false;
         };
-        let own = view.engine(engine).and_then(|engine| {
-            let first = responsible(&view.daemons, engine)?;
-            (*first == view.own_instance && !engine.leaving).then_some(())
+        let responsible = view.engine(engine).and_then(|engine| {
+            let daemon = responsible_daemon(&view.daemons, engine)?;
+            (*daemon == view.own_instance && !engine.leaving).then_some(())
         });
-        own.is_some() && view.revision == revision && read_at.age() < self.options.view_lease
+        responsible.is_some()
+            && view.revision == revision
+            && read_at.age() < self.options.view_lease
     }
 }
--- a/crates/orders/src/token.rs
+++ b/crates/orders/src/token.rs
@@ -6,36 +6,39 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Token of an order; a later one compares greater, field by field.
+/// Token of an order; tokens are compared field by field, and a later order has
+/// the greater one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken {
-    /// Configuration that the order carries out.
+    /// Revision of the configuration that the order applies.
     pub revision: Revision,
-    /// One more than the highest that the sender saw at the engine.
+    /// One more than the highest term that the sender read from the engine.
     pub term: u64,
-    /// Life of the sender; breaks ties of two that read the same term.
+    /// Incarnation of the sender; breaks ties between daemons that read the same
+    /// term.
     pub incarnation: Incarnation,
 }
 
-/// The engine has seen an order of a later configuration.
+/// The engine has seen an order of a newer configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("engine has seen revision {seen}, own configuration is {own}")]
 pub struct Outdated {
     /// Revision that the engine has seen.
     pub seen: Revision,
-    /// Revision of this daemon.
+    /// Revision of this daemon's configuration.
     pub own: Revision,
 }
 
 impl FencingToken {
     /// The token of the next order, greater than `highest`.
     ///
-    /// `highest` is the greatest of what the engine reports and what this
-    /// daemon sent to it. No state is shared: whoever orders has read the engine
-    /// first, so that its token is above all that the engine took before.
+    /// `highest` is the maximum of the token that the engine reports and the last
+    /// one that this daemon sent to it. Daemons share no state: each reads the
+    /// engine before it sends an order, so its token is greater than all tokens
+    /// that the engine accepted before that read.
     ///
     /// # Errors
-    /// [`Outdated`] when `highest` belongs to a later configuration.
+    /// [`Outdated`] when `highest` belongs to a newer configuration.
     pub fn next(
         highest: Option<Self>,
         revision: Revision,
--- a/crates/orders/src/turn.rs
+++ b/crates/orders/src/turn.rs
@@ -1,100 +1,102 @@
-//! Whose turn it is to load.
+//! Limits of concurrent loads.
 //!
-//! The weight store is shared and a loading engine serves nothing, so loads
-//! are spread. All daemons walk a model's engines in the same order, over what
-//! the engines themselves report, and so agree whose turn it is without a word.
-//! A place that was given to an engine stays its own until the engine reports
-//! that it is in its desired state, so a version that no engine can load stops at
-//! the first few.
+//! The weight store is shared and a loading engine serves no requests, so only a
+//! few engines load at a time. All daemons go through a model's engines in the same
+//! order, using the states reported by the engines, and so agree on the engines
+//! whose turn it is without coordination. An engine keeps its slot until it reports
+//! that it is in its desired state, so the rollout of a version that no engine can
+//! load stops at the first few engines.
 
 use std::collections::HashMap;
 
 use mangofront_settings::ids::{AvailabilityZone, InstanceId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Limits of loads at one time.
+/// Limits of concurrent loads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TurnLimits {
-    /// Engines of a model that load at once in one availability zone.
+pub struct LoadLimits {
+    /// Most engines of a model that load concurrently in one availability zone.
     pub loads_per_zone: usize,
-    /// Engines of a model that load at once, in percent of those that answer.
+    /// Most engines of a model that load concurrently, in percent of those that
+    /// answer.
     pub share_percent: usize,
 }
 
-/// What an engine is doing, as it was last read.
+/// Load condition of an engine according to its last report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Condition {
-    /// Is in its desired state.
+pub enum LoadCondition {
+    /// The engine is in its desired state.
     Settled,
-    /// Lacks something that has to be loaded.
-    Needing,
-    /// Loads.
+    /// The engine has to load something.
+    NeedsLoad,
+    /// The engine is loading.
     Loading,
-    /// Does not answer.
+    /// The engine does not answer.
     Unknown,
 }
 
-/// One engine of a model.
+/// State of one engine of a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub struct EngineState {
     /// Its instance.
     pub instance: InstanceId,
-    /// Where it stands.
+    /// Availability zone that it runs in.
     pub availability_zone: AvailabilityZone,
-    /// What it is doing.
-    pub condition: Condition,
+    /// Its load condition.
+    pub condition: LoadCondition,
 }
 
-/// Whether `engine`, which lacks something, may start to load.
+/// Whether `engine`, which has to load something, may start to load.
 ///
-/// `standings` are all engines of its model that stay, in any order. A model
-/// with several engines never loses the last one that answers.
+/// `states` contains all engines of its model that are not leaving, in any order.
+/// Of a model with several engines, the last one that answers and is not loading
+/// may not start.
 #[must_use]
-pub fn may_start(standings: &[Standing], engine: &str, limits: TurnLimits) -> bool {
-    let mut order: Vec<&Standing> = standings.iter().collect();
-    order.sort_by_cached_key(|standing| {
-        let name = &standing.instance;
+pub fn may_start_load(states: &[EngineState], engine: &str, limits: LoadLimits) -> bool {
+    let mut order: Vec<&EngineState> = states.iter().collect();
+    order.sort_by_cached_key(|state| {
+        let name = &state.instance;
         (xxh3_64(name.as_bytes()), name.clone())
     });
-    let mut places = Places::new(standings, limits);
-    for standing in order {
-        let needs = standing.condition == Condition::Needing;
-        if !needs || !places.take(&standing.availability_zone) {
+    let mut slots = LoadSlots::new(states, limits);
+    for state in order {
+        let needs_load = state.condition == LoadCondition::NeedsLoad;
+        if !needs_load || !slots.take(&state.availability_zone) {
             continue;
         }
-        if standing.instance == engine {
+        if state.instance == engine {
             return true;
         }
     }
     false
 }
 
-/// Places for loads that are left.
-struct Places<'a> {
+/// Slots for concurrent loads that are not taken yet.
+struct LoadSlots<'a> {
     left: usize,
     in_zone: HashMap<&'a str, usize>,
     loads_per_zone: usize,
 }
 
-impl<'a> Places<'a> {
-    fn new(standings: &'a [Standing], limits: TurnLimits) -> Self {
-        let count = |wanted: Condition| {
-            let found = standings.iter().filter(|one| one.condition == wanted);
+impl<'a> LoadSlots<'a> {
+    fn new(states: &'a [EngineState], limits: LoadLimits) -> Self {
+        let count = |wanted: LoadCondition| {
+            let found = states.iter().filter(|state| state.condition == wanted);
             found.count()
         };
-        let answering = standings.len() - count(Condition::Unknown);
-        let mut most = (answering * limits.share_percent / 100).max(1);
-        if standings.len() > 1 {
-            most = most.min(answering.saturating_sub(1));
+        let answering = states.len() - count(LoadCondition::Unknown);
+        let mut max_loads = (answering * limits.share_percent / 100).max(1);
+        if states.len() > 1 {
+            max_loads = max_loads.min(answering.saturating_sub(1));
         }
         let mut in_zone = HashMap::new();
-        for standing in standings {
-            if standing.condition == Condition::Loading {
-                *in_zone.entry(&*standing.availability_zone).or_default() += 1;
+        for state in states {
+            if state.condition == LoadCondition::Loading {
+                *in_zone.entry(&*state.availability_zone).or_default() += 1;
             }
         }
         Self {
-            left: most.saturating_sub(count(Condition::Loading)),
+            left: max_loads.saturating_sub(count(LoadCondition::Loading)),
             in_zone,
             loads_per_zone: limits.loads_per_zone.max(1),
         }
--- a/crates/orders/src/view.rs
+++ b/crates/orders/src/view.rs
@@ -1,4 +1,4 @@
-//! What the embedder knows: daemons, engines and the configuration in force.
+//! Input from the embedder: daemons, engines and the configuration in force.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,16 +8,16 @@
 use mangofront_upstream::Target;
 use serde::{Deserialize, Serialize};
 
-/// View of one daemon at one moment.
+/// View of one daemon at one point in time.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct OrdersView {
     /// Instance of this daemon.
     pub own_instance: InstanceId,
-    /// Life of this daemon's process.
+    /// Incarnation of this daemon's process.
     pub incarnation: Incarnation,
-    /// Daemons that are alive and stay, this one included.
+    /// Daemons that are alive and not leaving, including this one.
     pub daemons: Vec<OrdersDaemon>,
-    /// Engines that are listed.
+    /// Listed engines.
     pub engines: Vec<OrdersEngine>,
     /// Revision of the configuration in force.
     pub revision: Revision,
@@ -30,7 +30,7 @@
 pub struct OrdersDaemon {
     /// Its instance.
     pub instance: InstanceId,
-    /// Where it stands.
+    /// Availability zone that it runs in.
     pub availability_zone: AvailabilityZone,
 }
 
@@ -41,13 +41,13 @@
     pub instance: InstanceId,
     /// Model it should serve.
     pub model: ModelName,
-    /// Where it stands.
+    /// Availability zone that it runs in.
     pub availability_zone: AvailabilityZone,
     /// HTTP address.
     pub address: SocketAddr,
-    /// Whether it is going; then it gets no order.
+    /// Whether it is draining; if so, it gets no orders.
     pub leaving: bool,
-    /// Role it should have; `None` leaves its role alone.
+    /// Role that it should have; `None` leaves its role unchanged.
     pub role: Option<EngineRole>,
 }
 
@@ -55,11 +55,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Prefill and decoding.
+    /// Prefill and decode.
     Mixed,
     /// Prefill only.
     Prefill,
-    /// Decoding only.
+    /// Decode only.
     Decode,
 }
 
--- a/crates/orders/tests/sequences.rs
+++ b/crates/orders/tests/sequences.rs
@@ -1,14 +1,14 @@
-//! Properties over arbitrary sequences.
+//! Property tests of tokens, load limits and the assignment of engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use mangofront_orders::{
-    Condition, FencingToken, OrdersDaemon, OrdersEngine, Standing, TurnLimits, may_start,
-    responsible,
+    EngineState, FencingToken, LoadCondition, LoadLimits, OrdersDaemon, OrdersEngine,
+    may_start_load, responsible_daemon,
 };
 use quickcheck::{Gen, QuickCheck, TestResult, Testable};
 
-/// Seed of all sequences.
+/// Seed of all tests.
 const SEED: u64 = 5;
 
 fn check(property: impl Testable) {
@@ -19,25 +19,25 @@
 }
 
 #[test]
-fn tokens() {
-    check(tokens_grow as fn(Vec<(i8, u64)>) -> bool);
+fn fencing_tokens() {
+    check(tokens_increase as fn(Vec<(i8, u64)>) -> bool);
     check(ties_are_broken as fn(u64, u64, u64) -> TestResult);
 }
 
 #[test]
-fn turns() {
-    check(turns_keep_the_limits as fn(Vec<(u8, u8)>, u8, u8) -> bool);
+fn load_limits() {
+    check(starts_keep_the_limits as fn(Vec<(u8, u8)>, u8, u8) -> bool);
 }
 
 #[test]
-fn responsibility() {
-    check(responsibility_is_stable as fn(BTreeSet<(u8, u8)>, u8, usize) -> TestResult);
+fn assignment() {
+    check(assignment_is_stable as fn(BTreeSet<(u8, u8)>, u8, usize) -> TestResult);
 }
 
-/// Whoever takes over, an engine sees growing tokens, and none of an older
-/// configuration. Each step: how far the daemon's revision is from the last
-/// one, and the daemon's incarnation.
-fn tokens_grow(takeovers: Vec<(i8, u64)>) -> bool {
+/// The tokens that an engine gets from successive daemons increase, and none is of
+/// an older configuration. Each step contains the difference of the daemon's
+/// revision to the previous one, and the daemon's incarnation.
+fn tokens_increase(takeovers: Vec<(i8, u64)>) -> bool {
     let mut highest: Option<FencingToken> = None;
     let mut revision = 1_000_u64;
     for (step, incarnation) in takeovers {
@@ -51,7 +51,7 @@
     true
 }
 
-/// Two that read the same token never send the same one.
+/// Two daemons that read the same token send different ones.
 fn ties_are_broken(term: u64, first: u64, second: u64) -> TestResult {
     if first == second {
         return TestResult::discard();
@@ -65,30 +65,32 @@
     TestResult::from_bool(sent[0] != sent[1])
 }
 
-/// The turns keep every limit, and don't depend on the order of the list.
-fn turns_keep_the_limits(conditions: Vec<(u8, u8)>, zone_limit: u8, share: u8) -> bool {
-    let standings = standings(&conditions);
-    let limits = TurnLimits {
+/// The engines that may start keep every limit and do not depend on the order of
+/// the list.
+fn starts_keep_the_limits(conditions: Vec<(u8, u8)>, zone_limit: u8, share: u8) -> bool {
+    let states = states(&conditions);
+    let limits = LoadLimits {
         loads_per_zone: usize::from(zone_limit % 4).max(1),
         share_percent: usize::from(share % 101),
     };
-    let mut reversed = standings.clone();
+    let mut reversed = states.clone();
     reversed.reverse();
-    let starts: Vec<&Standing> = standings
+    let starts: Vec<&EngineState> = states
         .iter()
-        .filter(|one| may_start(&standings, &one.instance, limits))
+        .filter(|one| may_start_load(&states, &one.instance, limits))
         .collect();
-    let alike = standings.iter().all(|one| {
-        may_start(&standings, &one.instance, limits) == may_start(&reversed, &one.instance, limits)
+    let order_independent = states.iter().all(|one| {
+        may_start_load(&states, &one.instance, limits)
+            == may_start_load(&reversed, &one.instance, limits)
     });
-    alike
-        && share_is_kept(&standings, &starts, limits)
-        && zones_are_kept(&standings, &starts, limits)
+    order_independent
+        && share_is_kept(&states, &starts, limits)
+        && zones_are_kept(&states, &starts, limits)
 }
 
-/// An engine has a daemon of its zone if there is one, and the loss of
-/// another daemon changes nothing for it.
-fn responsibility_is_stable(daemons: BTreeSet<(u8, u8)>, zone: u8, lost: usize) -> TestResult {
+/// An engine is assigned to a daemon of its availability zone if there is one, and
+/// the loss of another daemon does not change its assignment.
+fn assignment_is_stable(daemons: BTreeSet<(u8, u8)>, zone: u8, lost: usize) -> TestResult {
     let daemons: Vec<OrdersDaemon> = daemons
         .iter()
         .map(|(name, zone)| OrdersDaemon {
@@ -97,32 +99,33 @@
         })
         .collect();
     let engine = engine(zone);
-    let Some(first) = responsible(&daemons, &engine).cloned() else {
+    let Some(first) = responsible_daemon(&daemons, &engine).cloned() else {
         return TestResult::from_bool(daemons.is_empty());
     };
-    let near = |daemon: &&OrdersDaemon| daemon.availability_zone == engine.availability_zone;
-    let has_near = daemons.iter().any(|daemon| near(&daemon));
-    let is_near = daemons
+    let same_zone = |daemon: &&OrdersDaemon| daemon.availability_zone == engine.availability_zone;
+    let zone_has_daemon = daemons.iter().any(|daemon| same_zone(&daemon));
+    let is_same_zone = daemons
         .iter()
-        .filter(near)
+        .filter(same_zone)
         .any(|daemon| daemon.instance == first);
-    let mut fewer = daemons.clone();
-    let gone = fewer.remove(lost % daemons.len());
-    let unmoved = gone.instance == first || responsible(&fewer, &engine) == Some(&first);
-    TestResult::from_bool(is_near == has_near && unmoved)
+    let mut remaining = daemons.clone();
+    let removed = remaining.remove(lost % daemons.len());
+    let unchanged =
+        removed.instance == first || responsible_daemon(&remaining, &engine) == Some(&first);
+    TestResult::from_bool(is_same_zone == zone_has_daemon && unchanged)
 }
 
-fn standings(conditions: &[(u8, u8)]) -> Vec<Standing> {
+fn states(conditions: &[(u8, u8)]) -> Vec<EngineState> {
     let numbered = conditions.iter().enumerate();
     numbered
-        .map(|(index, (condition, zone))| Standing {
+        .map(|(index, (condition, zone))| EngineState {
             instance: format!("engine-{index}"),
             availability_zone: zone_name(*zone),
             condition: match condition % 4 {
-                0 => Condition::Settled,
-                1 => Condition::Needing,
-                2 => Condition::Loading,
-                _ => Condition::Unknown,
+                0 => LoadCondition::Settled,
+                1 => LoadCondition::NeedsLoad,
+                2 => LoadCondition::Loading,
+                _ => LoadCondition::Unknown,
             },
         })
         .collect()
@@ -143,23 +146,23 @@
     }
 }
 
-fn share_is_kept(standings: &[Standing], starts: &[&Standing], limits: TurnLimits) -> bool {
+fn share_is_kept(states: &[EngineState], starts: &[&EngineState], limits: LoadLimits) -> bool {
     let count = |wanted| {
-        let found = standings.iter().filter(|one| one.condition == wanted);
+        let found = states.iter().filter(|one| one.condition == wanted);
         found.count()
     };
-    let answering = standings.len() - count(Condition::Unknown);
-    let out = count(Condition::Loading) + starts.len();
+    let answering = states.len() - count(LoadCondition::Unknown);
+    let unavailable = count(LoadCondition::Loading) + starts.len();
     let share = (answering * limits.share_percent / 100).max(1);
-    let last_one_stays = standings.len() == 1 || out < answering;
-    starts.is_empty() || (out <= share && last_one_stays)
+    let last_one_stays = states.len() == 1 || unavailable < answering;
+    starts.is_empty() || (unavailable <= share && last_one_stays)
 }
 
-fn zones_are_kept(standings: &[Standing], starts: &[&Standing], limits: TurnLimits) -> bool {
+fn zones_are_kept(states: &[EngineState], starts: &[&EngineState], limits: LoadLimits) -> bool {
     let mut loads: BTreeMap<&str, usize> = BTreeMap::new();
-    let loading = |one: &&Standing| one.condition == Condition::Loading;
-    for standing in standings.iter().filter(loading) {
-        *loads.entry(&standing.availability_zone).or_default() += 1;
+    let loading = |one: &&EngineState| one.condition == LoadCondition::Loading;
+    for state in states.iter().filter(loading) {
+        *loads.entry(&state.availability_zone).or_default() += 1;
     }
     starts.iter().all(|start| {
         let loads = loads.entry(&start.availability_zone).or_default();
--- a/crates/orders/tests/support/delay.rs
+++ b/crates/orders/tests/support/delay.rs
@@ -1,4 +1,4 @@
-//! A link that holds back orders, as a network or a frozen sender may.
+//! A link that delays orders, like a slow network or a frozen sender.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -10,18 +10,18 @@
 
 use super::pause;
 
-/// Start of a request that is held back.
-const HELD: &[u8] = b"PUT ";
+/// Start of a request that is delayed.
+const DELAYED_PREFIX: &[u8] = b"PUT ";
 
-/// Passes connections on to an engine; orders wait until they are released.
-pub struct SlowLink {
+/// Forwards connections to an engine; orders are delayed until they are released.
+pub struct DelayingLink {
     pub address: SocketAddr,
     held: Rc<Cell<usize>>,
     released: Rc<Cell<bool>>,
     _accepting: JoinHandle<()>,
 }
 
-impl SlowLink {
+impl DelayingLink {
     pub async fn start(engine: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -30,11 +30,11 @@
         let states = (Rc::clone(&held), Rc::clone(&released));
         let accepting = spawn(async move {
             loop {
-                let (near, _) = listener.accept().await.unwrap();
-                let far = TcpStream::connect(engine).await.unwrap();
+                let (client, _) = listener.accept().await.unwrap();
+                let server = TcpStream::connect(engine).await.unwrap();
                 let (held, released) = states.clone();
-                spawn(pass(near.clone(), far.clone(), held, released)).detach();
-                spawn(pass(far, near, Rc::default(), Rc::default())).detach();
+                spawn(forward(client.clone(), server.clone(), held, released)).detach();
+                spawn(forward(server, client, Rc::default(), Rc::default())).detach();
             }
         });
         Self {
@@ -45,18 +45,18 @@
         }
     }
 
-    /// Orders that were held back so far.
+    /// Number of orders that were delayed so far.
     pub fn held(&self) -> usize {
         self.held.get()
     }
 
-    /// Lets the orders through.
+    /// Forwards the delayed and all later orders.
     pub fn release(&self) {
         self.released.set(true);
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
     held: Rc<Cell<usize>>,
@@ -67,7 +67,7 @@
         let (Ok(1..), bytes) = (read.0, read.1) else {
             return;
         };
-        if bytes.starts_with(HELD) {
+        if bytes.starts_with(DELAYED_PREFIX) {
             held.set(held.get() + 1);
             while !released.get() {
                 pause(2).await;
--- a/crates/orders/tests/support/mod.rs
+++ b/crates/orders/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Emulated engines on loopback, and would-be responsible daemons.
+//! Emulated engines on loopback, and daemons that send orders to them.
 
 #![allow(clippy::unwrap_used, reason = "a helper that fails ends its test")]
 #![allow(
@@ -27,10 +27,10 @@
 use mangofront_upstream::{Connections, ConnectionsOptions};
 use serde_json::{Value, json};
 
-/// Longest time for something to come true, far beyond what is expected.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// Timeout of [`wait_until`], far longer than expected.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A running engine; dropped, it shuts down.
+/// A running engine, which shuts down when dropped.
 pub struct TestEngine {
     pub address: SocketAddr,
     _shutdown: ShutdownTrigger,
@@ -63,7 +63,7 @@
         get(self.address, path).await
     }
 
-    /// Orders as the engine counted them: kind, value, and whether it took them.
+    /// Orders that the engine recorded: kind, value, and whether it accepted them.
     pub async fn orders(&self) -> Vec<(String, String, bool)> {
         let counters = self.get("/control/counters").await;
         let orders = counters["orders"].as_array().cloned().unwrap_or_default();
@@ -77,7 +77,7 @@
             .collect()
     }
 
-    /// Switches the emulator's faults.
+    /// Sets the faults of the emulated engine.
     pub async fn control(&self, switches: Value) {
         let client = mangofront_http::client().unwrap();
         let url = format!("http://{}/control", self.address);
@@ -85,7 +85,8 @@
         assert!(request.send().await.unwrap().status().is_success());
     }
 
-    /// Sends an order past all daemons; the answer's status.
+    /// Sends an order directly, without a daemon, and returns the status of the
+    /// answer.
     pub async fn order(&self, kind: &str, token: Value, value: &str) -> u16 {
         let client = mangofront_http::client().unwrap();
         let url = format!("http://{}/v1/orders/{kind}", self.address);
@@ -94,7 +95,7 @@
         request.send().await.unwrap().status().as_u16()
     }
 
-    /// Waits until `field` of the state is `value` and nothing is loaded.
+    /// Waits until `field` of the state is `value` and nothing is being loaded.
     pub async fn wait_for(&self, field: &str, value: Value) {
         wait_until(&format!("{field} is {value}"), async || {
             let state = self.get("/v1/state").await;
@@ -111,7 +112,7 @@
     serde_json::from_str(&answer.text().await.unwrap()).unwrap()
 }
 
-/// A running weight store; dropped, it shuts down.
+/// A running weight store, which shuts down when dropped.
 pub struct TestStore {
     pub address: SocketAddr,
     _shutdown: ShutdownTrigger,
@@ -135,11 +136,11 @@
     }
 }
 
-/// Polls `holds` until it is true.
-pub async fn wait_until(what: &str, holds: impl AsyncFn() -> bool) {
+/// Polls `condition` until it is true.
+pub async fn wait_until(what: &str, condition: impl AsyncFn() -> bool) {
     let started = Instant::now();
-    while !holds().await {
-        assert!(started.elapsed() < PATIENCE, "did not come about: {what}");
+    while !condition().await {
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out: {what}");
         pause(5).await;
     }
 }
@@ -148,7 +149,7 @@
     compio::time::sleep(Duration::from_millis(time_ms)).await;
 }
 
-/// A daemon's orders with the changes they told.
+/// The orders of a daemon, and the changes that they reported.
 pub struct TestDaemon {
     pub name: String,
     pub incarnation: u64,
@@ -156,9 +157,9 @@
     pub changes: Rc<RefCell<Vec<OrderChange>>>,
 }
 
-/// Options of a daemon that is a hundred times as hasty as a real one; its
-/// lease is an ordinary one, so that a busy machine ends none.
-pub fn hasty() -> OrdersOptionsBuilder {
+/// Options of a daemon with much shorter intervals than the defaults; the lease is
+/// the default one, so that it does not expire on a busy machine.
+pub fn fast_options() -> OrdersOptionsBuilder {
     OrdersOptions::builder(Connections::new(ConnectionsOptions::default()))
         .poll_interval(Duration::from_millis(10))
         .takeover_wait(Duration::from_millis(200))
@@ -168,8 +169,8 @@
 impl TestDaemon {
     pub fn new(name: &str, incarnation: u64, options: OrdersOptionsBuilder) -> Self {
         let changes: Rc<RefCell<Vec<OrderChange>>> = Rc::default();
-        let told = Rc::clone(&changes);
-        let options = options.on_change(move |change| told.borrow_mut().push(change));
+        let recorded = Rc::clone(&changes);
+        let options = options.on_change(move |change| recorded.borrow_mut().push(change));
         Self {
             name: name.to_owned(),
             incarnation,
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Hands in `view` as this daemon's own.
-    pub fn see(&self, view: &OrdersView) {
+    /// Sets `view` as the view of this daemon.
+    pub fn set_view(&self, view: &OrdersView) {
         self.orders.set_view(self.own_view(view));
     }
 
@@ -191,8 +192,8 @@
         }
     }
 
-    /// Hands in `view` again and again, as an embedder does.
-    pub fn keep_seeing(&self, view: &OrdersView) -> JoinHandle<()> {
+    /// Sets `view` repeatedly, like an embedder.
+    pub fn keep_setting_view(&self, view: &OrdersView) -> JoinHandle<()> {
         let view = self.own_view(view);
         let orders = self.orders.clone();
         spawn(async move {
@@ -204,8 +205,8 @@
     }
 }
 
-/// A view of `daemons` in zone hall-a and of `engines`, by turns in the halls
-/// of `zones`.
+/// A view of `daemons` in availability zone hall-a, and of `engines` distributed
+/// round-robin over `zones`.
 pub fn view(
     daemons: &[&str],
     engines: &[&TestEngine],
@@ -245,7 +246,7 @@
     }
 }
 
-/// An order that an engine took, as [`TestEngine::orders`] tells it.
-pub fn taken(kind: &str, value: &str) -> (String, String, bool) {
+/// An order that an engine accepted, as returned by [`TestEngine::orders`].
+pub fn accepted(kind: &str, value: &str) -> (String, String, bool) {
     (kind.to_owned(), value.to_owned(), true)
 }
