--- a/crates/placement/examples/embed.rs
+++ b/crates/placement/examples/embed.rs
@@ -1,4 +1,4 @@
-//! Smallest use of the placement without the daemon.
+//! Minimal use of a placement without the daemon.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
         address: "127.0.0.1:9000".parse()?,
         leaving: false,
     }]);
-    let demand = PlacementRequest {
+    let request = PlacementRequest {
         model: "assist-llm".to_owned(),
         length_tokens: 1_200,
         max_tokens: 200,
@@ -22,10 +22,10 @@
         time_to_first_token: Duration::from_millis(500),
         deadline: Instant::now() + Duration::from_secs(10),
     };
-    let mut placed = placement.place(&demand, &[])?;
+    let mut placed = placement.place(&request, &[])?;
     println!("{} at {}", placed.instance, placed.address);
     println!("priority {}, {:?}", placed.priority, placed.estimate);
-    // The request would be sent here; its first token comes, then the rest.
+    // The request would be sent here, followed by the first token and the rest.
     placed.record_first_token();
     placed.record_generated_tokens(200);
     Ok(())
--- a/crates/placement/examples/place_cost.rs
+++ b/crates/placement/examples/place_cost.rs
@@ -1,5 +1,5 @@
-//! Prints what decisions and peers' views cost for 25 engines and prompts of up
-//! to a million tokens.
+//! Measures the time of decisions and of applying peers' views, with 25 engines
+//! and prompts of up to a million tokens.
 //!
 //! Run with `cargo run --release -p mangofront-placement --example place_cost`.
 
@@ -19,7 +19,8 @@
     let options = PlacementOptions::new("entry-1".to_owned(), "hall-a".to_owned());
     let placement = Placement::new(options);
     placement.set_engines((0..ENGINES).map(engine).collect());
-    // Each engine holds another part of the prompt, beside as much of others.
+    // Each engine caches a prefix of the prompt of different length, and as many
+    // blocks of other prompts.
     let blocks: Vec<u64> = (1..=BLOCKS).map(spread).collect();
     for index in 0..ENGINES {
         let instance = format!("engine-{index}");
@@ -38,39 +39,39 @@
         ("1,000 tokens, no block", 1_000, Vec::new()),
         ("1,000,000 tokens, 4,000 blocks", 1_000_000, blocks),
     ] {
-        let demand = demand(length_tokens, blocks);
-        let mut held = Vec::new();
+        let request = request(length_tokens, blocks);
+        let mut placed = Vec::new();
         let start = Instant::now();
         for round in 0..ROUNDS {
-            held.push(placement.place(&demand, &[])?);
+            placed.push(placement.place(&request, &[])?);
             if round >= 200 {
-                held.swap_remove(round as usize % 200);
+                placed.swap_remove(round as usize % 200);
             }
         }
         let place = start.elapsed() / ROUNDS;
         let start = Instant::now();
         for _ in 0..ROUNDS {
-            placement.estimate(&demand)?;
+            placement.estimate(&request)?;
         }
         let estimate = start.elapsed() / ROUNDS;
         println!("{name}: place and drop {place:?}, estimate {estimate:?}");
     }
-    views(&placement)
+    measure_views(&placement)
 }
 
-/// Has many peers with work on every engine tell of it, ten times each.
-fn views(placement: &Placement) -> Result<(), Box<dyn std::error::Error>> {
+/// Applies views of many peers with work on every engine, ten times each.
+fn measure_views(placement: &Placement) -> Result<(), Box<dyn std::error::Error>> {
     let peer = Placement::new(PlacementOptions::new(
         "entry-2".to_owned(),
         "hall-b".to_owned(),
     ));
     peer.set_engines((0..ENGINES).map(engine).collect());
-    let held: Result<Vec<_>, _> = (0..200)
-        .map(|index| peer.place(&demand(500 << (index % 10), Vec::new()), &[]))
+    let placed: Result<Vec<_>, _> = (0..200)
+        .map(|index| peer.place(&request(500 << (index % 10), Vec::new()), &[]))
         .collect();
-    let held = held?;
+    let placed = placed?;
     let mut size_bytes = 0;
-    let mut taken = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     for _ in 0..10 {
         let view = peer.own_view();
         size_bytes = view.len();
@@ -78,18 +79,18 @@
         for number in 0..PEERS {
             placement.apply_peer_view(&format!("entry-{}", number + 2), 1, view.clone());
         }
-        taken += start.elapsed();
+        elapsed += start.elapsed();
     }
-    let each = taken / (10 * PEERS);
+    let each = elapsed / (10 * PEERS);
     println!(
-        "view of {} requests on {ENGINES} engines: {size_bytes} bytes, taken in in {each:?} \
-         beside {PEERS} peers",
-        held.len()
+        "view of {} requests on {ENGINES} engines: {size_bytes} bytes, applied in {each:?} \
+         with {PEERS} peers",
+        placed.len()
     );
     Ok(())
 }
 
-fn demand(length_tokens: u64, blocks: Vec<u64>) -> PlacementRequest {
+fn request(length_tokens: u64, blocks: Vec<u64>) -> PlacementRequest {
     PlacementRequest {
         model: "assist-llm".to_owned(),
         length_tokens,
@@ -100,7 +101,7 @@
     }
 }
 
-/// Spreads numbers as hashes are spread.
+/// Maps consecutive numbers to uniformly distributed ones, like hashes.
 fn spread(number: u64) -> u64 {
     let mixed = (number ^ (number >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     (mixed ^ (mixed >> 29)).wrapping_mul(0xBF58_476D_1CE4_E5B9)
--- a/crates/placement/src/cache.rs
+++ b/crates/placement/src/cache.rs
@@ -1,9 +1,9 @@
-//! What is believed to be in an engine's prefix cache.
+//! Assumed content of an engine's prefix cache.
 //!
-//! The view is kept by numbered events; a gap between their numbers means that
-//! blocks may have come or gone unseen, and asks for a snapshot. Until it comes
-//! the old view stays in use: a wrong entry makes an estimate wrong, never an
-//! answer, since the engine itself looks up what it holds.
+//! The view is updated by numbered events. A gap in their numbers means that
+//! blocks may have been stored or evicted unnoticed, so a snapshot is needed.
+//! Until it arrives the old view stays in use: a wrong entry makes an estimate
+//! wrong but never an answer, since the engine looks up its own cache.
 
 use std::collections::HashSet;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -13,10 +13,10 @@
 
 use crate::report::{CacheEvent, CacheEventKind, CacheEvents, CacheSnapshot, CacheSync};
 
-/// Blocks kept for one engine: four million tokens.
+/// Maximum blocks tracked for one engine: four million tokens.
 const MAX_BLOCKS: usize = 16_384;
 
-/// Passes a block's hash through: it is evenly spread already.
+/// Identity hasher: block hashes are uniformly distributed already.
 #[derive(Debug, Default)]
 pub(crate) struct BlockHasher(u64);
 
@@ -39,7 +39,7 @@
 /// View of one engine's prefix cache.
 ///
 /// Invariants: `blocks.len() <= MAX_BLOCKS`; while `next_sequence` is set, every
-/// event before it is in `blocks`, but for blocks beyond the limit.
+/// event before it is applied to `blocks`, except for blocks beyond the limit.
 #[derive(Debug, Default)]
 pub(crate) struct CacheView {
     incarnation: Incarnation,
@@ -52,18 +52,18 @@
         self.blocks.len()
     }
 
-    pub(crate) fn in_sync(&self) -> bool {
+    pub(crate) fn is_in_sync(&self) -> bool {
         self.next_sequence.is_some()
     }
 
-    /// Takes over a snapshot, unless events have overtaken it.
-    pub(crate) fn snapshot(&mut self, snapshot: &CacheSnapshot) {
+    /// Replaces the view by a snapshot, unless later events were applied already.
+    pub(crate) fn apply_snapshot(&mut self, snapshot: &CacheSnapshot) {
         let after = snapshot.sequence.saturating_add(1);
-        let same_life = snapshot.incarnation == self.incarnation;
+        let same_incarnation = snapshot.incarnation == self.incarnation;
         if snapshot.incarnation < self.incarnation {
             return;
         }
-        if same_life && self.next_sequence.is_some_and(|next| next > after) {
+        if same_incarnation && self.next_sequence.is_some_and(|next| next > after) {
             return;
         }
         self.incarnation = snapshot.incarnation;
@@ -72,19 +72,19 @@
         self.store(&snapshot.blocks);
     }
 
-    /// Takes in events; asks for a snapshot when some were missed.
-    pub(crate) fn events(&mut self, events: &CacheEvents) -> CacheSync {
+    /// Applies events; returns whether some were missed and a snapshot is needed.
+    pub(crate) fn apply_events(&mut self, events: &CacheEvents) -> CacheSync {
         if events.incarnation < self.incarnation {
             return self.sync();
         }
         if events.incarnation > self.incarnation {
-            // A new life starts with an empty cache.
+            // A new incarnation starts with an empty cache.
             self.blocks.clear();
             self.next_sequence = None;
             self.incarnation = events.incarnation;
         }
         for event in &events.events {
-            self.event(event);
+            self.apply_event(event);
         }
         if self
             .next_sequence
@@ -95,18 +95,18 @@
         self.sync()
     }
 
-    /// Takes in blocks that a finished prefill must have left behind.
-    pub(crate) fn presume(&mut self, blocks: &[BlockHash]) {
-        let room = MAX_BLOCKS.saturating_sub(self.blocks.len());
-        self.blocks.extend(blocks.iter().take(room));
+    /// Adds the blocks that a completed prefill has left in the cache.
+    pub(crate) fn insert_prefilled(&mut self, blocks: &[BlockHash]) {
+        let capacity = MAX_BLOCKS.saturating_sub(self.blocks.len());
+        self.blocks.extend(blocks.iter().take(capacity));
     }
 
-    /// Tokens at the start of a prompt that are believed to be cached.
+    /// Length of the prompt's prefix that is assumed to be cached, in tokens.
     ///
-    /// Each hash covers the whole text before it, so the cached blocks of a
-    /// prompt are a prefix of its list; its end is found in a number of steps
-    /// that grows with the logarithm. Should an engine have evicted a block in
-    /// the middle, the answer is too high, which costs time only.
+    /// Each block hash covers all preceding text, so the cached blocks of a
+    /// prompt form a prefix of its list, whose end is found by galloping search
+    /// in logarithmic time. If the engine has evicted a block in the middle, the
+    /// result is too high, which only makes the estimate worse.
     pub(crate) fn cached_tokens(&self, blocks: &[BlockHash]) -> u64 {
         let mut step = 1;
         while step <= blocks.len() && self.blocks.contains(&blocks[step - 1]) {
@@ -125,7 +125,7 @@
         }
     }
 
-    fn event(&mut self, event: &CacheEvent) {
+    fn apply_event(&mut self, event: &CacheEvent) {
         match self.next_sequence {
             Some(next) if event.sequence < next => return,
             Some(next) if event.sequence == next => {
@@ -141,8 +141,8 @@
     }
 
     fn store(&mut self, blocks: &[String]) {
-        let room = MAX_BLOCKS.saturating_sub(self.blocks.len());
-        self.blocks.extend(hashes(blocks).take(room));
+        let capacity = MAX_BLOCKS.saturating_sub(self.blocks.len());
+        self.blocks.extend(hashes(blocks).take(capacity));
     }
 
     fn evict(&mut self, blocks: &[String]) {
@@ -152,7 +152,7 @@
     }
 }
 
-/// Reads hashes, passing over those that are none.
+/// Parses hexadecimal block hashes, skipping malformed ones.
 fn hashes(blocks: &[String]) -> impl Iterator<Item = BlockHash> {
     blocks
         .iter()
--- a/crates/placement/src/choose.rs
+++ b/crates/placement/src/choose.rs
@@ -1,79 +1,82 @@
-//! The choice among a model's engines.
+//! Selection among the engines of a model.
 
 use std::rc::Rc;
 
 use mangofront_settings::ids::InstanceId;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::bars::{barred, held_back, kv_tokens, mean_outstanding, needed_tokens};
-use crate::demand::NoEngine;
+use crate::eligibility::{
+    ineligible_reason, is_held_back, kv_tokens, mean_outstanding, needed_tokens,
+};
 use crate::engine::Engine;
-use crate::estimate::{Asked, Terms, seconds, weigh, weigh_share};
+use crate::estimate::{DecisionContext, Evaluation, evaluate, evaluate_share, seconds};
 use crate::explain::SelectionReason;
-use crate::group::{Room, Share, plan};
+use crate::group::{MemberCapacity, Share, plan_group};
 use crate::model::{Model, SharedEngine};
 use crate::options::{PlacementOptions, Policy};
+use crate::request::NoEngine;
 
-/// Costs that differ by less than this share are not told apart.
-const TIE_SHARE: f64 = 0.02;
+/// Relative cost difference below which engines count as equal.
+const COST_TIE_SHARE: f64 = 0.02;
 
-/// Costs that differ by less than this beyond the way to another zone are not
-/// told apart, in seconds.
-const TIE_S: f64 = 0.000_5;
+/// Absolute cost difference, in seconds and beyond the round trip to another
+/// availability zone, below which engines count as equal.
+const COST_TIE_S: f64 = 0.000_5;
 
-/// Work from which engines are taken from the long end, in tokens.
-const FROM_LONG_END_TOKENS: u64 = 32_768;
+/// Uncached tokens from which a prompt prefers the long end of the order.
+const MIN_LONG_END_TOKENS: u64 = 32_768;
 
-/// What was decided for a request.
+/// Engine or group selected for a request.
 #[derive(Debug)]
 pub(crate) struct Choice {
-    /// The engine that answers, with its terms.
+    /// Engine that generates the answer.
     pub(crate) engine: SharedEngine,
-    pub(crate) terms: Terms,
-    /// All members' shares, the answering engine's first, when it takes more
-    /// than one.
+    pub(crate) evaluation: Evaluation,
+    /// Members with their shares in tokens, the answering engine first; empty
+    /// when one engine suffices.
     pub(crate) group: Vec<(SharedEngine, u64)>,
 }
 
-/// One engine, weighed.
+/// An engine with its evaluation for one request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Weighed {
+pub(crate) struct Candidate {
+    /// Index in the model's stable order.
     pub(crate) index: usize,
-    pub(crate) terms: Terms,
-    /// Why it can't be taken; none when it can.
-    pub(crate) barred: Option<SelectionReason>,
-    held_back: bool,
+    pub(crate) evaluation: Evaluation,
+    /// Why the engine can't be selected; `None` when it is eligible.
+    pub(crate) ineligible_reason: Option<SelectionReason>,
+    is_held_back: bool,
 }
 
-/// Order in which engines are preferred whatever they cost.
+/// Preference that takes precedence over cost, best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
-    Good,
+    Preferred,
     DelaysOthers,
     MissesTarget,
     HeldBack,
 }
 
-impl Weighed {
+impl Candidate {
     fn rank(&self) -> Rank {
-        if self.held_back {
+        if self.is_held_back {
             Rank::HeldBack
-        } else if self.terms.misses_target {
+        } else if self.evaluation.misses_target {
             Rank::MissesTarget
-        } else if self.terms.delays_others {
+        } else if self.evaluation.delays_others {
             Rank::DelaysOthers
         } else {
-            Rank::Good
+            Rank::Preferred
         }
     }
 
-    /// Why it was not taken, though it could have been.
-    pub(crate) fn verdict(&self) -> SelectionReason {
-        if let Some(barred) = self.barred {
-            return barred;
+    /// Why the engine was not selected.
+    pub(crate) fn rejection_reason(&self) -> SelectionReason {
+        if let Some(reason) = self.ineligible_reason {
+            return reason;
         }
         match self.rank() {
-            Rank::Good => SelectionReason::CostsMore,
+            Rank::Preferred => SelectionReason::CostsMore,
             Rank::DelaysOthers => SelectionReason::DelaysOthers,
             Rank::MissesTarget => SelectionReason::MissesTarget,
             Rank::HeldBack => SelectionReason::HeldBack,
@@ -81,175 +84,206 @@
     }
 }
 
-/// Weighs every engine of the model.
-pub(crate) fn weigh_all(model: &Model, asked: &Asked<'_>, excluded: &[InstanceId]) -> Vec<Weighed> {
+/// Evaluates every engine of the model.
+pub(crate) fn evaluate_all(
+    model: &Model,
+    context: &DecisionContext<'_>,
+    excluded: &[InstanceId],
+) -> Vec<Candidate> {
     let mean_outstanding = mean_outstanding(model);
     let engines = model.order.iter().enumerate();
     engines
         .map(|(index, engine)| {
             let engine = engine.borrow();
-            Weighed {
+            Candidate {
                 index,
-                terms: weigh(&engine, asked),
-                barred: barred(&engine, asked, excluded),
-                held_back: held_back(&engine, asked, mean_outstanding),
+                evaluation: evaluate(&engine, context),
+                ineligible_reason: ineligible_reason(&engine, context, excluded),
+                is_held_back: is_held_back(&engine, context, mean_outstanding),
             }
         })
         .collect()
 }
 
-/// Chooses among weighed engines.
+/// Selects an engine, or a group when the prompt fits no single engine.
 pub(crate) fn choose(
     model: &Model,
-    asked: &Asked<'_>,
-    weighed: &[Weighed],
+    context: &DecisionContext<'_>,
+    candidates: &[Candidate],
     options: &PlacementOptions,
 ) -> Result<Choice, NoEngine> {
     if model.order.is_empty() {
         return Err(NoEngine::UnknownModel);
     }
-    let usable = usable(weighed);
-    if let Some(chosen) = pick(model, &usable, options) {
+    let eligible = eligible(candidates);
+    if let Some(chosen) = select_by_policy(model, &eligible, options) {
         return Ok(Choice {
             engine: Rc::clone(&model.order[chosen.index]),
-            terms: chosen.terms,
+            evaluation: chosen.evaluation,
             group: Vec::new(),
         });
     }
-    if weighed
+    if candidates
         .iter()
-        .any(|weighed| weighed.barred == Some(SelectionReason::TooSmall))
+        .any(|candidate| candidate.ineligible_reason == Some(SelectionReason::TooSmall))
     {
-        return choose_group(model, asked, weighed);
+        return choose_group(model, context, candidates);
     }
     Err(NoEngine::NoneUsable)
 }
 
-/// Engines that can be taken; ejected and unreachable ones when there is no other.
-fn usable(weighed: &[Weighed]) -> Vec<Weighed> {
-    let free = weighed.iter().filter(|weighed| weighed.barred.is_none());
-    let free: Vec<_> = free.copied().collect();
-    if !free.is_empty() {
-        return free;
+/// Eligible engines; falls back to ejected and unreachable ones when there are
+/// none.
+fn eligible(candidates: &[Candidate]) -> Vec<Candidate> {
+    let available = candidates
+        .iter()
+        .filter(|candidate| candidate.ineligible_reason.is_none());
+    let available: Vec<_> = available.copied().collect();
+    if !available.is_empty() {
+        return available;
     }
-    let doubtful = weighed.iter().filter(|weighed| {
+    let fallback = candidates.iter().filter(|candidate| {
         matches!(
-            weighed.barred,
+            candidate.ineligible_reason,
             Some(SelectionReason::Ejected | SelectionReason::Unreachable)
         )
     });
-    doubtful.copied().collect()
+    fallback.copied().collect()
 }
 
-fn pick(model: &Model, usable: &[Weighed], options: &PlacementOptions) -> Option<Weighed> {
+fn select_by_policy(
+    model: &Model,
+    eligible: &[Candidate],
+    options: &PlacementOptions,
+) -> Option<Candidate> {
     match options.policy {
-        Policy::LengthAware => pick_by_cost(model, usable, options),
-        Policy::LeastOutstanding => usable
+        Policy::LengthAware => select_by_cost(model, eligible, options),
+        Policy::LeastOutstanding => eligible
             .iter()
-            .min_by_key(|weighed| model.order[weighed.index].borrow().own.outstanding())
+            .min_by_key(|candidate| model.order[candidate.index].borrow().own.outstanding())
             .copied(),
         Policy::RoundRobin => {
-            let index = model.next_round % usable.len().max(1);
-            usable.get(index).copied()
+            let index = model.round_robin_index % eligible.len().max(1);
+            eligible.get(index).copied()
         }
     }
 }
 
-/// The cheapest of the best rank; among near equals one of the prompt's interval
-/// with least to do.
-fn pick_by_cost(model: &Model, usable: &[Weighed], options: &PlacementOptions) -> Option<Weighed> {
-    let best_rank = usable.iter().map(Weighed::rank).min()?;
-    let of_rank = || usable.iter().filter(|weighed| weighed.rank() == best_rank);
-    let costs = of_rank().map(|weighed| weighed.terms.cost_s);
-    let least_s = costs.min_by(f64::total_cmp)?;
+/// Selects the cheapest engine of the best rank. Among engines of nearly equal
+/// cost, prefers those in the prompt's interval, then the least loaded.
+fn select_by_cost(
+    model: &Model,
+    eligible: &[Candidate],
+    options: &PlacementOptions,
+) -> Option<Candidate> {
+    let best_rank = eligible.iter().map(Candidate::rank).min()?;
+    let best_ranked = || {
+        eligible
+            .iter()
+            .filter(|candidate| candidate.rank() == best_rank)
+    };
+    let costs = best_ranked().map(|candidate| candidate.evaluation.cost_s);
+    let min_cost_s = costs.min_by(f64::total_cmp)?;
     let round_trip_s = 2.0 * options.zone_penalty.as_secs_f64();
-    let limit_s = least_s * (1.0 + TIE_SHARE) + TIE_S + round_trip_s;
-    of_rank()
-        .filter(|weighed| weighed.terms.cost_s <= limit_s)
-        .min_by_key(|weighed| {
-            let engine = model.order[weighed.index].borrow();
-            let is_outside = weighed.terms.border_distance > 0.0;
-            let (detour, turn) = turn(weighed, &engine, options);
-            (is_outside, engine.outstanding() + detour, turn)
+    let limit_s = min_cost_s * (1.0 + COST_TIE_SHARE) + COST_TIE_S + round_trip_s;
+    best_ranked()
+        .filter(|candidate| candidate.evaluation.cost_s <= limit_s)
+        .min_by_key(|candidate| {
+            let engine = model.order[candidate.index].borrow();
+            let is_outside = candidate.evaluation.interval_distance > 0.0;
+            let (zone_load, tie_break) = tie_break(candidate, &engine, options);
+            (is_outside, engine.outstanding() + zone_load, tie_break)
         })
         .copied()
 }
 
-/// Order among equals: what to add to the engine's load, and then whose turn it is.
+/// Returns a load surcharge and a sort key for engines of nearly equal cost.
 ///
-/// Long work goes from the long end, for all daemons alike, so that the middle
-/// stays clear. Other work goes in another order for each daemon, since they
-/// don't see each other's latest choices, and the way to another zone weighs as
-/// much as one more request.
-fn turn(weighed: &Weighed, engine: &Engine, options: &PlacementOptions) -> (u32, u64) {
-    if weighed.terms.uncached_tokens >= FROM_LONG_END_TOKENS {
-        return (0, u64::MAX - weighed.index as u64);
+/// Every daemon fills engines with long prompts from the long end, which keeps
+/// the middle of the order free. For other prompts each daemon has its own
+/// order, since daemons don't see each other's latest placements. An engine in
+/// another zone counts as having one more request.
+fn tie_break(candidate: &Candidate, engine: &Engine, options: &PlacementOptions) -> (u32, u64) {
+    if candidate.evaluation.uncached_tokens >= MIN_LONG_END_TOKENS {
+        return (0, u64::MAX - candidate.index as u64);
     }
-    let is_elsewhere = engine.info.availability_zone != options.availability_zone;
-    (u32::from(is_elsewhere), salt(options, engine))
+    let is_other_zone = engine.info.availability_zone != options.availability_zone;
+    (u32::from(is_other_zone), daemon_salt(options, engine))
 }
 
-/// Differs between daemons, so that they don't all take the same of equals.
-fn salt(options: &PlacementOptions, engine: &Engine) -> u64 {
-    xxh3_64(options.daemon.as_bytes()) ^ u64::from(engine.key).wrapping_mul(0x9E37_79B9_7F4A_7C15)
+/// Hash that differs between daemons, so that they don't all select the same
+/// engine among equals.
+fn daemon_salt(options: &PlacementOptions, engine: &Engine) -> u64 {
+    xxh3_64(options.daemon.as_bytes())
+        ^ u64::from(engine.name_hash).wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
 
-fn choose_group(model: &Model, asked: &Asked<'_>, weighed: &[Weighed]) -> Result<Choice, NoEngine> {
-    let members = weighed
+fn choose_group(
+    model: &Model,
+    context: &DecisionContext<'_>,
+    candidates: &[Candidate],
+) -> Result<Choice, NoEngine> {
+    let members = candidates
         .iter()
-        .filter(|weighed| weighed.barred == Some(SelectionReason::TooSmall));
-    let healthy = members.clone().filter(|weighed| {
-        let engine = model.order[weighed.index].borrow();
+        .filter(|candidate| candidate.ineligible_reason == Some(SelectionReason::TooSmall));
+    let healthy = members.clone().filter(|candidate| {
+        let engine = model.order[candidate.index].borrow();
         !engine.health.is_ejected() && !engine.health.is_unreachable()
     });
-    let needed_tokens = needed_tokens(asked.demand);
-    let shares = plan(&rooms(model, asked, healthy), needed_tokens)
-        .or_else(|_| plan(&rooms(model, asked, members), needed_tokens))?;
-    Ok(group_choice(model, asked, &shares))
+    let needed_tokens = needed_tokens(context.request);
+    let shares = plan_group(&member_capacities(model, context, healthy), needed_tokens)
+        .or_else(|_| plan_group(&member_capacities(model, context, members), needed_tokens))?;
+    Ok(build_group_choice(model, context, &shares))
 }
 
-fn rooms<'a>(
+fn member_capacities<'a>(
     model: &Model,
-    asked: &Asked<'_>,
-    members: impl Iterator<Item = &'a Weighed>,
-) -> Vec<Room> {
+    context: &DecisionContext<'_>,
+    members: impl Iterator<Item = &'a Candidate>,
+) -> Vec<MemberCapacity> {
     members
-        .map(|weighed| {
-            let engine = model.order[weighed.index].borrow();
+        .map(|candidate| {
+            let engine = model.order[candidate.index].borrow();
             let reported = engine.report.as_ref();
             let used_tokens = reported.map_or(0, |reported| reported.load.kv_used_tokens);
-            Room {
-                index: weighed.index,
-                total_tokens: kv_tokens(&engine, asked).unwrap_or(0),
+            MemberCapacity {
+                index: candidate.index,
+                total_tokens: kv_tokens(&engine, context).unwrap_or(0),
                 used_tokens: used_tokens + engine.own.since_report_kv_tokens(),
             }
         })
         .collect()
 }
 
-/// The group's terms: its slowest member's, stretched as groups were seen to be.
-fn group_choice(model: &Model, asked: &Asked<'_>, shares: &[Share]) -> Choice {
-    let stretch = model.learned.borrow().group_stretch.mean().unwrap_or(1.0);
-    let mut slowest: Option<Terms> = None;
+/// Builds the choice of a group. Its evaluation is that of the slowest member,
+/// scaled by the ratio of measured to predicted times of earlier groups.
+fn build_group_choice(model: &Model, context: &DecisionContext<'_>, shares: &[Share]) -> Choice {
+    let time_ratio = model
+        .learned
+        .borrow()
+        .group_time_ratio
+        .mean()
+        .unwrap_or(1.0);
+    let mut slowest: Option<Evaluation> = None;
     let mut group = Vec::with_capacity(shares.len());
     for share in shares {
         let engine = &model.order[share.index];
-        let terms = weigh_share(&engine.borrow(), asked, 0, share.tokens);
+        let evaluation = evaluate_share(&engine.borrow(), context, 0, share.tokens);
         group.push((Rc::clone(engine), share.tokens));
-        let first_token = terms.estimate.time_to_first_token;
+        let first_token = evaluation.estimate.time_to_first_token;
         if slowest.is_none_or(|slowest| slowest.estimate.time_to_first_token < first_token) {
-            slowest = Some(terms);
+            slowest = Some(evaluation);
         }
     }
     let leader = &model.order[shares[0].index];
-    let mut terms = slowest.unwrap_or_else(|| weigh(&leader.borrow(), asked));
-    let decode = terms.estimate.completion - terms.estimate.time_to_first_token;
-    let first_token_s = terms.estimate.time_to_first_token.as_secs_f64() * stretch;
-    terms.estimate.time_to_first_token = seconds(first_token_s);
-    terms.estimate.completion = seconds(first_token_s) + decode;
+    let mut evaluation = slowest.unwrap_or_else(|| evaluate(&leader.borrow(), context));
+    let decode = evaluation.estimate.completion - evaluation.estimate.time_to_first_token;
+    let first_token_s = evaluation.estimate.time_to_first_token.as_secs_f64() * time_ratio;
+    evaluation.estimate.time_to_first_token = seconds(first_token_s);
+    evaluation.estimate.completion = seconds(first_token_s) + decode;
     Choice {
         engine: Rc::clone(leader),
-        terms,
+        evaluation,
         group,
     }
 }
--- a/crates/placement/src/clock.rs
+++ b/crates/placement/src/clock.rs
@@ -1,7 +1,7 @@
-//! The time that decisions are made at.
+//! Time source of all decisions.
 //!
-//! Every decision asks one [`Clock`], so that an embedding program or a test
-//! can set the time by hand and see the same decisions again.
+//! All times come from a [`Clock`], so that an embedding program or a test can
+//! control the time and reproduce decisions.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,35 +10,37 @@
 /// Source of the current time; clones share one time.
 #[derive(Debug, Clone, Default)]
 pub struct Clock {
-    /// Time set by hand; the machine's own when `None`.
-    set: Option<Rc<Cell<Instant>>>,
+    /// Current time of a manual clock; `None` for the system clock.
+    manual_time: Option<Rc<Cell<Instant>>>,
 }
 
 impl Clock {
-    /// The machine's monotonic clock.
+    /// The system's monotonic clock.
     #[must_use]
     pub fn monotonic() -> Self {
         Self::default()
     }
 
-    /// A clock that stands still until it is advanced.
+    /// A manual clock that only moves when advanced.
     #[must_use]
     pub fn manual(start: Instant) -> Self {
         Self {
-            set: Some(Rc::new(Cell::new(start))),
+            manual_time: Some(Rc::new(Cell::new(start))),
         }
     }
 
     /// Current time.
     #[must_use]
     pub fn now(&self) -> Instant {
-        self.set.as_ref().map_or_else(Instant::now, |set| set.get())
+        self.manual_time
+            .as_ref()
+            .map_or_else(Instant::now, |time| time.get())
     }
 
-    /// Moves a manual clock on; the machine's clock is left alone.
+    /// Advances a manual clock; does nothing on the system clock.
     pub fn advance(&self, by: Duration) {
-        if let Some(set) = &self.set {
-            set.set(set.get() + by);
+        if let Some(time) = &self.manual_time {
+            time.set(time.get() + by);
         }
     }
 }
--- a/crates/placement/src/decayed.rs
+++ b/crates/placement/src/decayed.rs
@@ -1,8 +1,8 @@
-//! Sums and means that forget.
+//! Exponentially decaying sums and means.
 
 use std::time::{Duration, Instant};
 
-/// Sum whose parts lose half their weight with every half-life.
+/// Sum in which each amount loses half its weight per half-life.
 #[derive(Debug, Clone, Copy)]
 pub struct DecayedSum {
     half_life: Duration,
@@ -37,7 +37,7 @@
         self.at = Some(now);
     }
 
-    /// Rate of a steady flow that would give this value, in units a second.
+    /// Constant rate that would yield the current value, in units per second.
     #[must_use]
     pub fn per_second(&self, now: Instant) -> f64 {
         self.at(now) * std::f64::consts::LN_2 / self.half_life.as_secs_f64()
@@ -50,7 +50,8 @@
 /// Weight of a new sample in the deviation.
 const DEVIATION_GAIN: f64 = 0.25;
 
-/// Running mean with its mean deviation, as TCP keeps of its round trips.
+/// Exponentially weighted mean and mean deviation, as in TCP's round-trip time
+/// estimator.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SmoothedMean {
     mean: f64,
@@ -59,7 +60,7 @@
 }
 
 impl SmoothedMean {
-    /// Takes in a sample; one that is not finite is ignored.
+    /// Adds a sample; ignores one that is not finite.
     pub fn observe(&mut self, sample: f64) {
         if !sample.is_finite() {
             return;
@@ -75,13 +76,13 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// Mean, once there is a sample.
+    /// Mean, or `None` without samples.
     #[must_use]
     pub fn mean(&self) -> Option<f64> {
         (self.samples > 0).then_some(self.mean)
     }
 
-    /// Mean and `deviations` mean deviations above it, once there is a sample.
+    /// Mean plus `deviations` mean deviations, or `None` without samples.
     #[must_use]
     pub fn upper(&self, deviations: f64) -> Option<f64> {
         self.mean().map(|mean| mean + deviations * self.deviation)
--- a/crates/placement/src/engine.rs
+++ b/crates/placement/src/engine.rs
@@ -1,50 +1,51 @@
-//! What this daemon knows of one engine.
+//! State of one engine as this daemon knows it.
 
 use std::time::{Duration, Instant};
 
-use crate::border::Interval;
 use crate::cache::CacheView;
 use crate::decayed::SmoothedMean;
-use crate::demand::EngineInfo;
-use crate::gossip::{EngineWork, NameKey, name_key};
 use crate::health::Health;
+use crate::length_class::Interval;
+use crate::own_work::OwnWork;
+use crate::peer_views::{EngineWork, NameHash, name_hash};
 use crate::peer_work::PeerWork;
-use crate::rates::{PrefillFit, PrefillLine};
+use crate::prefill::{PrefillFit, PrefillLine};
 use crate::report::{EngineState, LoadReport};
-use crate::work::OwnWork;
+use crate::request::EngineInfo;
 
-/// Oldest age believed of a report.
+/// Limit on the age that a report may state.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(60);
 
-/// A report without new numbers for this long is replaced by any other one.
+/// Age from which a report is replaced by any other, whatever its sequence
+/// number.
 const REPORT_LIFETIME: Duration = Duration::from_secs(10);
 
-/// Longest queue believed of a report, in tokens: four of the longest prompts.
+/// Limit on the reported queue, in tokens: four prompts of the maximum length.
 const MAX_REPORTED_QUEUE_TOKENS: u64 = 4_000_000;
 
-/// Largest memory believed of a report, in tokens.
+/// Limit on the reported KV memory, in tokens.
 const MAX_REPORTED_KV_TOKENS: u64 = 64_000_000;
 
-/// State kept for one engine.
+/// Reports, placed work, cache contents and health of one engine.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) info: EngineInfo,
-    pub(crate) key: NameKey,
-    /// Its part of the model's stable order.
-    pub(crate) position: Interval,
+    pub(crate) name_hash: NameHash,
+    /// Interval of the model's stable order that the engine covers.
+    pub(crate) order_interval: Interval,
     pub(crate) report: Option<Reported>,
     pub(crate) own: OwnWork,
     pub(crate) peers: PeerWork,
     pub(crate) cache: CacheView,
     pub(crate) fit: PrefillFit,
-    /// Time of a decoding step, in seconds.
-    pub(crate) step_s: SmoothedMean,
-    /// Time for which a request holds its memory, in seconds.
-    pub(crate) hold_s: SmoothedMean,
+    /// Duration of a decoding step, in seconds.
+    pub(crate) decode_step_s: SmoothedMean,
+    /// Time for which a request holds KV memory, in seconds.
+    pub(crate) memory_hold_s: SmoothedMean,
     pub(crate) health: Health,
 }
 
-/// A load report, clamped to what can be.
+/// A load report with its values clamped to plausible ranges.
 #[derive(Debug)]
 pub(crate) struct Reported {
     pub(crate) load: LoadReport,
@@ -55,16 +56,16 @@
 impl Engine {
     pub(crate) fn new(info: EngineInfo, health: Health) -> Self {
         Self {
-            key: name_key(&info.instance),
+            name_hash: name_hash(&info.instance),
             info,
-            position: Interval::default(),
+            order_interval: Interval::default(),
             report: None,
             own: OwnWork::default(),
             peers: PeerWork::default(),
             cache: CacheView::default(),
             fit: PrefillFit::default(),
-            step_s: SmoothedMean::default(),
-            hold_s: SmoothedMean::default(),
+            decode_step_s: SmoothedMean::default(),
+            memory_hold_s: SmoothedMean::default(),
             health,
         }
     }
@@ -76,17 +77,17 @@
             || self.health.refuses_as_leaving(now)
     }
 
-    /// Takes in a report, unless a newer one is known.
-    pub(crate) fn take_report(&mut self, report: LoadReport, now: Instant) {
-        self.health.report_arrived();
-        if !self.is_news(&report, now) {
+    /// Stores a report unless a newer one is known.
+    pub(crate) fn apply_load_report(&mut self, report: LoadReport, now: Instant) {
+        self.health.record_report();
+        if !self.is_newer(&report, now) {
             return;
         }
         let age = Duration::from_millis(report.age_ms).min(MAX_REPORT_AGE);
         let measured_at = now.checked_sub(age).unwrap_or(now);
-        self.own.report_measured(measured_at);
+        self.own.set_report_time(measured_at);
         if report.state == EngineState::Live {
-            self.health.reported_live(measured_at);
+            self.health.record_live_report(measured_at);
         }
         self.report = Some(Reported {
             load: clamped(report),
@@ -95,13 +96,13 @@
         });
     }
 
-    /// Memory of the engine as it reports it, in tokens.
+    /// Reported KV memory in tokens; `None` if unknown or zero.
     pub(crate) fn kv_total_tokens(&self) -> Option<u64> {
         let total = self.report.as_ref()?.load.kv_total_tokens;
         (total > 0).then_some(total)
     }
 
-    /// What the engine itself says of its prefill rate.
+    /// Prefill time as a line derived from the reported rate alone.
     pub(crate) fn reported_line(&self) -> PrefillLine {
         let rate = self
             .report
@@ -110,44 +111,45 @@
         PrefillLine::reported(rate)
     }
 
-    /// Own and peers' requests that have not ended.
+    /// Outstanding requests of this daemon and its peers.
     pub(crate) fn outstanding(&self) -> u32 {
         self.own
             .outstanding()
             .saturating_add(self.peers.outstanding)
     }
 
-    /// Least work that may still overtake a long prompt waiting here.
-    pub(crate) fn overtaking_left_tokens(&self, priority: u8) -> Option<i64> {
-        let own = self.own.most_overtaken(priority);
-        let peers = self.peers.most_overtaken();
+    /// Smallest remaining overtaking budget, in tokens, among the waiting long
+    /// prompts that are less urgent than `priority`.
+    pub(crate) fn smallest_overtaking_budget(&self, priority: u8) -> Option<i64> {
+        let own = self.own.smallest_overtaking_budget(priority);
+        let peers = self.peers.overtaking_budgets();
         peers
-            .filter(|overtakable| overtakable.priority > priority)
+            .filter(|budget| budget.priority > priority)
             .chain(own)
-            .map(|overtakable| overtakable.left_tokens)
+            .map(|budget| budget.left_tokens)
             .min()
     }
 
-    /// The own outstanding work, as peers are told of it.
+    /// This daemon's outstanding work, as published to peers.
     pub(crate) fn own_work(&self) -> EngineWork {
         let waiting = self.own.waiting_tokens().iter().enumerate();
         EngineWork {
-            engine: self.key,
+            engine: self.name_hash,
             outstanding: self.own.outstanding(),
             waiting_tokens: waiting
                 .filter(|(_, tokens)| **tokens > 0)
                 .map(|(band, tokens)| (band as u8, *tokens))
                 .collect(),
             since_report_tokens: self.own.since_report_tokens().iter().sum(),
-            most_overtaken: self.own.most_overtaken(0),
+            most_overtaken: self.own.smallest_overtaking_budget(0),
         }
     }
 
-    fn is_news(&self, report: &LoadReport, now: Instant) -> bool {
+    fn is_newer(&self, report: &LoadReport, now: Instant) -> bool {
         let Some(known) = &self.report else {
             return true;
         };
-        // A nonsense number must not shut out all later reports.
+        // A bogus sequence number must not block all later reports.
         if now - known.received_at > REPORT_LIFETIME {
             return true;
         }
--- a/crates/placement/src/estimate.rs
+++ b/crates/placement/src/estimate.rs
@@ -1,40 +1,40 @@
-//! What one engine would do with one request.
+//! Prediction of one request's latency and cost on one engine.
 
 use std::time::{Duration, Instant};
 
 use crate::backlog::{Backlog, backlog, queue_s};
-use crate::border::{Interval, LENGTH_CLASSES, length_class};
-use crate::demand::{Estimate, PlacementRequest};
 use crate::engine::Engine;
-use crate::model::Typical;
+use crate::length_class::{Interval, LENGTH_CLASSES, length_class};
+use crate::model::ModelMedians;
+use crate::own_work::{BANDS, Work};
+use crate::prefill::PrefillLine;
 use crate::priority::priority;
-use crate::rates::PrefillLine;
-use crate::work::{BANDS, Work};
+use crate::request::{Estimate, PlacementRequest};
 
-/// Decoding step believed of a report, in seconds.
-const REPORTED_STEP_S: std::ops::RangeInclusive<f64> = 0.000_1..=1.0;
+/// Range to which a reported decoding step is clamped, in seconds.
+const REPORTED_DECODE_STEP_S: std::ops::RangeInclusive<f64> = 0.000_1..=1.0;
 
-/// Decoding step before anything was observed or reported, in seconds.
-const INITIAL_STEP_S: f64 = 0.03;
+/// Decoding step assumed until one is observed or reported, in seconds.
+const INITIAL_DECODE_STEP_S: f64 = 0.03;
 
-/// Cost of a place outside the prompt's interval, as a multiple of the prompt's
-/// own prefill time for the whole length of the order.
-const BORDER_WEIGHT: f64 = 0.03;
+/// Cost of selecting an engine outside the prompt's interval, as a fraction of
+/// the prompt's prefill time at the greatest possible distance.
+const INTERVAL_DISTANCE_WEIGHT: f64 = 0.03;
 
-/// Delay by less urgent work in progress before any was observed, in tokens:
-/// half of a usual prefill chunk.
+/// Delay by less urgent work in progress assumed until one is observed, in
+/// tokens: half of a usual prefill chunk.
 const INITIAL_INTERFERENCE_TOKENS: f64 = 512.0;
 
-/// Shortest work for which overtaking is counted, in tokens.
-const OVERTAKABLE_TOKENS: u64 = 8_192;
+/// Shortest prefill for which overtaking is limited, in tokens.
+const MIN_OVERTAKABLE_TOKENS: u64 = 8_192;
 
-/// Estimates beyond this are not told apart.
+/// Upper bound of every estimate, in seconds.
 const MAX_ESTIMATE_S: f64 = 86_400.0;
 
-/// A request and what is the same for every engine that it is weighed against.
+/// A request and the inputs that are the same for all candidate engines.
 #[derive(Debug)]
-pub(crate) struct Asked<'a> {
-    pub(crate) demand: &'a PlacementRequest,
+pub(crate) struct DecisionContext<'a> {
+    pub(crate) request: &'a PlacementRequest,
     pub(crate) now: Instant,
     /// Availability zone of this daemon.
     pub(crate) availability_zone: &'a str,
@@ -42,86 +42,89 @@
     pub(crate) zone_penalty: Duration,
     /// Intervals of the length classes.
     pub(crate) intervals: [Interval; LENGTH_CLASSES],
-    /// Share of recent work that is as urgent as each band, or more.
+    /// Share of recent work in each priority band and all more urgent ones.
     pub(crate) ahead_share: [f64; BANDS],
-    /// What the model's engines have in common.
-    pub(crate) typical: Typical,
+    /// Medians over the model's engines.
+    pub(crate) medians: ModelMedians,
     /// Expected length of the answer, in tokens.
-    pub(crate) answer_tokens: f64,
-    /// Delay by less urgent work as observed, in seconds.
+    pub(crate) expected_answer_tokens: f64,
+    /// Observed delay by less urgent work in progress, in seconds.
     pub(crate) interference_s: Option<f64>,
 }
 
-/// What an engine would do with a request, and what taking it would cost.
+/// Predicted latency and cost of a request on an engine.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Terms {
+pub(crate) struct Evaluation {
     pub(crate) cached_tokens: u64,
     pub(crate) uncached_tokens: u64,
-    /// Queue as the work that would take as long, in tokens.
+    /// Queueing time, expressed as prefill work in tokens.
     pub(crate) queue_tokens: f64,
     pub(crate) priority: u8,
     pub(crate) line: PrefillLine,
     pub(crate) estimate: Estimate,
-    /// Part of the time that less urgent work in progress takes, in seconds.
+    /// Delay by less urgent work in progress, in seconds.
     pub(crate) interference_s: f64,
-    /// Gap between the engine and the prompt's interval, as a part of the order.
-    pub(crate) border_distance: f64,
+    /// Gap between the engine and the prompt's interval, as a fraction of the
+    /// order.
+    pub(crate) interval_distance: f64,
     pub(crate) cost_s: f64,
     pub(crate) misses_target: bool,
     pub(crate) delays_others: bool,
-    overtaking_left_tokens: Option<i64>,
+    overtaking_budget_tokens: Option<i64>,
 }
 
-impl Terms {
-    /// The work to count on the engine, of which it computes `share_tokens`.
+impl Evaluation {
+    /// Work to account for on an engine that computes `share_tokens` of the
+    /// prompt.
     pub(crate) fn work(&self, share_tokens: u64, kv_tokens: u64, now: Instant) -> Work {
         Work {
             placed_at: now,
             priority: self.priority,
             prefill_tokens: share_tokens,
             kv_tokens,
-            overtaking_left_tokens: self.overtaking_left_tokens,
+            overtaking_budget_tokens: self.overtaking_budget_tokens,
         }
     }
 }
 
-/// Weighs a request against an engine.
-pub(crate) fn weigh(engine: &Engine, asked: &Asked<'_>) -> Terms {
-    let demand = asked.demand;
-    let cached_tokens = engine.cache.cached_tokens(&demand.blocks);
-    // The last token is always computed: its output starts the answer.
-    let uncached_tokens = demand.length_tokens.saturating_sub(cached_tokens).max(1);
-    weigh_share(engine, asked, cached_tokens, uncached_tokens)
+/// Evaluates a request on an engine.
+pub(crate) fn evaluate(engine: &Engine, context: &DecisionContext<'_>) -> Evaluation {
+    let request = context.request;
+    let cached_tokens = engine.cache.cached_tokens(&request.blocks);
+    // The last prompt token is always computed: its output is the first token.
+    let uncached_tokens = request.length_tokens.saturating_sub(cached_tokens).max(1);
+    evaluate_share(engine, context, cached_tokens, uncached_tokens)
 }
 
-/// Weighs a request of which the engine computes `uncached_tokens`.
-pub(crate) fn weigh_share(
+/// Evaluates a request of which the engine computes `uncached_tokens`.
+pub(crate) fn evaluate_share(
     engine: &Engine,
-    asked: &Asked<'_>,
+    context: &DecisionContext<'_>,
     cached_tokens: u64,
     uncached_tokens: u64,
-) -> Terms {
-    let demand = asked.demand;
-    let line = line(engine, asked);
+) -> Evaluation {
+    let request = context.request;
+    let line = prefill_line(engine, context);
     let prefill_s = line.time_s(uncached_tokens as f64);
-    let decode_s = (asked.answer_tokens - 1.0).max(0.0) * step_s(engine, &asked.typical);
-    let left_s = (demand.deadline.saturating_duration_since(asked.now)).as_secs_f64();
-    let target_s = demand.time_to_first_token.as_secs_f64();
+    let decode_s =
+        (context.expected_answer_tokens - 1.0).max(0.0) * decode_step_s(engine, &context.medians);
+    let remaining_s = (request.deadline.saturating_duration_since(context.now)).as_secs_f64();
+    let target_s = request.time_to_first_token.as_secs_f64();
 
-    let slack_s = (target_s - prefill_s).min(left_s - decode_s - prefill_s);
+    let slack_s = (target_s - prefill_s).min(remaining_s - decode_s - prefill_s);
     let priority = priority(uncached_tokens, seconds(slack_s));
-    let backlog = backlog(engine, priority, &line, &asked.ahead_share, asked.now);
-    let queue_s = queue_s(engine, &backlog, &line, demand);
-    let zone_s = zone_s(engine, asked);
-    let interference_s = interference_s(&backlog, &line, asked);
+    let backlog = backlog(engine, priority, &line, &context.ahead_share, context.now);
+    let queue_s = queue_s(engine, &backlog, &line, request);
+    let zone_s = zone_s(engine, context);
+    let interference_s = interference_s(&backlog, &line, context);
     let first_token_s = prefill_s + queue_s + zone_s + interference_s;
 
-    let interval = asked.intervals[length_class(uncached_tokens)];
-    let border_distance = engine.position.distance(&interval);
-    let border_s = BORDER_WEIGHT * border_distance * prefill_s;
-    let may_overtake = engine.overtaking_left_tokens(priority);
-    let spare_tokens = (left_s - decode_s - first_token_s).max(0.0) / line.token_s;
-    Terms {
+    let interval = context.intervals[length_class(uncached_tokens)];
+    let interval_distance = engine.order_interval.distance(&interval);
+    let distance_cost_s = INTERVAL_DISTANCE_WEIGHT * interval_distance * prefill_s;
+    let smallest_budget = engine.smallest_overtaking_budget(priority);
+    let spare_tokens = (remaining_s - decode_s - first_token_s).max(0.0) / line.token_s;
+    Evaluation {
         cached_tokens,
         uncached_tokens,
         queue_tokens: queue_s / line.token_s,
@@ -131,65 +134,68 @@
             time_to_first_token: seconds(first_token_s),
             completion: seconds(first_token_s + decode_s),
             queue: seconds(queue_s),
-            is_assumed: is_assumed(engine, &asked.typical),
+            is_assumed: is_assumed(engine, &context.medians),
         },
-        border_distance,
-        cost_s: first_token_s + border_s,
+        interval_distance,
+        cost_s: first_token_s + distance_cost_s,
         interference_s,
-        misses_target: first_token_s > target_s.min(left_s),
-        delays_others: may_overtake.is_some_and(|left| left < uncached_tokens as i64),
-        overtaking_left_tokens: (uncached_tokens >= OVERTAKABLE_TOKENS)
+        misses_target: first_token_s > target_s.min(remaining_s),
+        delays_others: smallest_budget.is_some_and(|budget| budget < uncached_tokens as i64),
+        overtaking_budget_tokens: (uncached_tokens >= MIN_OVERTAKABLE_TOKENS)
             .then_some(spare_tokens as i64),
     }
 }
 
-/// Duration of `seconds`, held to what can be told apart.
+/// Converts to a duration, clamped to `MAX_ESTIMATE_S`.
 pub(crate) fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_ESTIMATE_S))
 }
 
-fn line(engine: &Engine, asked: &Asked<'_>) -> PrefillLine {
-    let prior = asked.typical.line;
+fn prefill_line(engine: &Engine, context: &DecisionContext<'_>) -> PrefillLine {
+    let prior = context.medians.line;
     let prior = prior.unwrap_or_else(|| engine.reported_line());
-    engine.fit.line(prior, asked.now)
+    engine.fit.line(prior, context.now)
 }
 
-/// Whether neither the engine's own word nor anything observed tells its speed.
-fn is_assumed(engine: &Engine, typical: &Typical) -> bool {
-    let is_observed = typical.line.is_some() || typical.step_s.is_some();
+/// Whether the engine's speed was neither reported nor observed.
+fn is_assumed(engine: &Engine, medians: &ModelMedians) -> bool {
+    let is_observed = medians.line.is_some() || medians.decode_step_s.is_some();
     engine.report.is_none() && engine.fit.samples() == 0 && !is_observed
 }
 
 /// Expected time of a decoding step, in seconds.
-fn step_s(engine: &Engine, typical: &Typical) -> f64 {
-    if let Some(observed_s) = engine.step_s.mean().or(typical.step_s) {
+fn decode_step_s(engine: &Engine, medians: &ModelMedians) -> f64 {
+    if let Some(observed_s) = engine.decode_step_s.mean().or(medians.decode_step_s) {
         return observed_s;
     }
     let reported = engine.report.as_ref();
     reported
         .map(|reported| reported.load.decode_step_ms / 1e3)
-        .filter(|step_s| step_s.is_finite() && *step_s > 0.0)
-        .map_or(INITIAL_STEP_S, |step_s| {
-            step_s.clamp(*REPORTED_STEP_S.start(), *REPORTED_STEP_S.end())
+        .filter(|decode_step_s| decode_step_s.is_finite() && *decode_step_s > 0.0)
+        .map_or(INITIAL_DECODE_STEP_S, |decode_step_s| {
+            decode_step_s.clamp(
+                *REPORTED_DECODE_STEP_S.start(),
+                *REPORTED_DECODE_STEP_S.end(),
+            )
         })
 }
 
-/// Delay by less urgent work, whose chunk in progress is not broken off, in
-/// seconds.
-fn interference_s(backlog: &Backlog, line: &PrefillLine, asked: &Asked<'_>) -> f64 {
+/// Delay by less urgent work, whose prefill chunk in progress is not
+/// interrupted, in seconds.
+fn interference_s(backlog: &Backlog, line: &PrefillLine, context: &DecisionContext<'_>) -> f64 {
     let behind_tokens = backlog.total_tokens - backlog.ahead_tokens;
     if behind_tokens < 1.0 {
         return 0.0;
     }
-    let whole_s = asked.interference_s;
-    let whole_s = whole_s.unwrap_or(INITIAL_INTERFERENCE_TOKENS * line.token_s);
-    whole_s.min(behind_tokens * line.token_s)
+    let full_delay_s = context.interference_s;
+    let full_delay_s = full_delay_s.unwrap_or(INITIAL_INTERFERENCE_TOKENS * line.token_s);
+    full_delay_s.min(behind_tokens * line.token_s)
 }
 
-/// Time to and from an engine in another availability zone, in seconds.
-fn zone_s(engine: &Engine, asked: &Asked<'_>) -> f64 {
-    if engine.info.availability_zone == asked.availability_zone {
+/// Round trip to an engine in another availability zone, in seconds.
+fn zone_s(engine: &Engine, context: &DecisionContext<'_>) -> f64 {
+    if engine.info.availability_zone == context.availability_zone {
         return 0.0;
     }
-    2.0 * asked.zone_penalty.as_secs_f64()
+    2.0 * context.zone_penalty.as_secs_f64()
 }
--- a/crates/placement/src/explain.rs
+++ b/crates/placement/src/explain.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of the placement's view and of one decision.
+//! Explanation of a decision and status of the placement, for operators.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -6,132 +6,134 @@
 use mangofront_settings::ids::{AvailabilityZone, InstanceId, ModelName};
 use serde::Serialize;
 
-use crate::choose::{Choice, Weighed};
-use crate::demand::{Estimate, GroupMember, NoEngine};
+use crate::choose::{Candidate, Choice};
 use crate::engine::Engine;
 use crate::model::SharedEngine;
-use crate::view::Views;
+use crate::request::{Estimate, GroupMember, NoEngine};
+use crate::state::PlacementState;
 
-/// One decision, laid open.
+/// Result of a decision with the evaluation of each engine.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Explanation {
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelName,
-    /// Engine that would be taken.
+    /// Engine that would be selected.
     pub chosen: Option<InstanceId>,
-    /// Members, when the prompt takes more than one engine.
+    /// Members, if the prompt needs a group of engines.
     pub group: Option<Vec<GroupMember>>,
-    /// Why none would be taken.
+    /// Why no engine would be selected.
     pub refused: Option<NoEngine>,
-    /// Every engine of the model, from the short end of the stable order.
+    /// All engines of the model in stable order, the short end first.
     pub considered: Vec<CandidateEngine>,
 }
 
-/// One engine that was considered.
+/// Evaluation of one engine.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct CandidateEngine {
     /// Engine's instance.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// Engine's availability zone.
     pub availability_zone: AvailabilityZone,
-    /// Prompt tokens believed to be cached there.
+    /// Prompt tokens assumed to be in its prefix cache.
     pub cached_tokens: u64,
-    /// Work that would go ahead, in tokens.
+    /// Queueing time, expressed as prefill work in tokens.
     pub queue_tokens: u64,
     /// Priority that the request would be sent with.
     pub priority: u8,
-    /// Gap between the engine and the prompt's part of the order, from 0 to 1.
+    /// Gap between the engine and the interval of the prompt's length class, as
+    /// a fraction of the stable order.
     pub border_distance: f64,
-    /// Prediction for the request there.
+    /// Prediction for the request on this engine.
     pub estimate: Estimate,
     /// Cost by which engines are compared, in milliseconds.
     pub cost_ms: f64,
-    /// Why it was taken or not.
+    /// Why the engine was selected or not.
     pub verdict: SelectionReason,
 }
 
-/// Why an engine was taken or not.
+/// Why an engine was selected or not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SelectionReason {
-    /// It was taken.
+    /// The engine was selected.
     Chosen,
-    /// Another one costs less, or has less to do at the same cost.
+    /// Another engine costs less, or is less loaded at nearly equal cost.
     CostsMore,
-    /// A long prompt that waits there would start too late.
+    /// The request would overtake a waiting long prompt beyond its budget.
     DelaysOthers,
-    /// The request would miss its target there.
+    /// The request would miss its target.
     MissesTarget,
-    /// It is busy, new or on probation, and gets little for now.
+    /// The engine is busy, in slow start or being probed, and gets few requests.
     HeldBack,
-    /// It takes no new work.
+    /// The engine is draining.
     Leaving,
-    /// It loads a model.
+    /// The engine is loading a model.
     Loading,
-    /// The caller asked for another one.
+    /// The caller excluded the engine.
     Excluded,
-    /// It failed too often or is too slow.
+    /// The engine is ejected, as it failed too often or is too slow.
     Ejected,
-    /// Its load reports can't be fetched.
+    /// The engine can't be reached or its load reports can't be fetched.
     Unreachable,
-    /// Its memory is too small for the request.
+    /// The engine's KV memory is too small for the request.
     TooSmall,
 }
 
-/// The placement's view, for a status page.
+/// State of the placement, for a status page.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PlacementStatus {
-    /// Peers whose views are in force.
+    /// Peers whose views are in effect.
     pub peers: usize,
-    /// Every engine known.
+    /// All known engines.
     pub engines: Vec<EngineStatus>,
 }
 
-/// The view of one engine.
+/// State of one engine.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct EngineStatus {
     /// Engine's instance.
     pub instance: InstanceId,
-    /// Model that it serves.
+    /// Model that the engine serves.
     pub model: ModelName,
-    /// Its availability zone.
+    /// Engine's availability zone.
     pub availability_zone: AvailabilityZone,
-    /// Whether it takes no new work.
+    /// Whether the engine is draining and takes no new requests.
     pub leaving: bool,
-    /// Whether it failed too often or is too slow.
+    /// Whether the engine is ejected, as it failed too often or is too slow.
     pub ejected: bool,
-    /// Whether its load reports can't be fetched.
+    /// Whether the engine can't be reached or its load reports can't be fetched.
     pub unreachable: bool,
-    /// Own requests outstanding there.
+    /// This daemon's outstanding requests.
     pub outstanding: u32,
-    /// Own prompt tokens that wait there.
+    /// This daemon's waiting prompt tokens.
     pub waiting_tokens: u64,
-    /// Own prompt tokens placed there since its last report was measured.
+    /// This daemon's waiting prompt tokens placed since the last report was
+    /// measured.
     pub since_report_tokens: u64,
-    /// Peers' requests outstanding there.
+    /// Peers' outstanding requests.
     pub peers_outstanding: u32,
-    /// Peers' prompt tokens that wait there.
+    /// Peers' waiting prompt tokens.
     pub peers_waiting_tokens: u64,
-    /// Time since its last report was measured, in milliseconds.
+    /// Age of the last report's measurement, in milliseconds.
     pub report_age_ms: Option<u64>,
-    /// Blocks believed to be in its prefix cache.
+    /// Blocks assumed to be in the engine's prefix cache.
     pub cached_blocks: usize,
-    /// Whether no cache event is missing.
+    /// Whether all cache events were received.
     pub cache_in_sync: bool,
-    /// Learned part of the time to first token that no work explains, in
-    /// milliseconds.
+    /// Learned part of the time to first token that doesn't depend on the amount
+    /// of work, in milliseconds.
     pub prefill_base_ms: f64,
-    /// Learned prefill rate, in tokens a second.
+    /// Learned prefill rate, in tokens per second.
     pub prefill_tokens_per_s: f64,
 }
 
 impl CandidateEngine {
     pub(crate) fn of(
         engine: &SharedEngine,
-        weighed: &Weighed,
+        candidate: &Candidate,
         choice: &Result<Choice, NoEngine>,
     ) -> Self {
-        let terms = &weighed.terms;
+        let evaluation = &candidate.evaluation;
         let is_chosen = choice.as_ref().is_ok_and(|choice| {
             let in_group = choice
                 .group
@@ -143,25 +145,25 @@
         Self {
             instance: info.instance.clone(),
             availability_zone: info.availability_zone.clone(),
-            cached_tokens: terms.cached_tokens,
-            queue_tokens: terms.queue_tokens as u64,
-            priority: terms.priority,
-            border_distance: terms.border_distance,
-            estimate: terms.estimate,
-            cost_ms: terms.cost_s * 1e3,
+            cached_tokens: evaluation.cached_tokens,
+            queue_tokens: evaluation.queue_tokens as u64,
+            priority: evaluation.priority,
+            border_distance: evaluation.interval_distance,
+            estimate: evaluation.estimate,
+            cost_ms: evaluation.cost_s * 1e3,
             verdict: if is_chosen {
                 SelectionReason::Chosen
             } else {
-                weighed.verdict()
+                candidate.rejection_reason()
             },
         }
     }
 }
 
 impl EngineStatus {
-    pub(crate) fn of(engine: &Engine, views: &Views, now: Instant) -> Self {
-        let model = views.models.get(&engine.info.model);
-        let prior = model.and_then(|model| model.typical.line);
+    pub(crate) fn of(engine: &Engine, state: &PlacementState, now: Instant) -> Self {
+        let model = state.models.get(&engine.info.model);
+        let prior = model.and_then(|model| model.medians.line);
         let prior = prior.unwrap_or_else(|| engine.reported_line());
         let line = engine.fit.line(prior, now);
         let age = engine
@@ -182,7 +184,7 @@
             peers_waiting_tokens: engine.peers.waiting_tokens.iter().sum(),
             report_age_ms: age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             cached_blocks: engine.cache.len(),
-            cache_in_sync: engine.cache.in_sync(),
+            cache_in_sync: engine.cache.is_in_sync(),
             prefill_base_ms: line.base_s * 1e3,
             prefill_tokens_per_s: 1.0 / line.token_s,
         }
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -1,54 +1,56 @@
-//! Whether an engine can be trusted with work.
+//! Outlier ejection, probing and slow start of one engine.
 //!
-//! An engine that fails several times in a row, or is far slower than its
-//! peers, is ejected for a while that doubles each time. Then it is probed with
-//! one request at a time, and after a success it starts slowly. How many may be
-//! ejected at once is the caller's matter, which knows the other engines.
+//! An engine that fails several times in a row, or is much slower than the other
+//! engines of its model, is ejected for a time that doubles with each ejection.
+//! It is then probed with one request at a time, and enters slow start after a
+//! success. The caller, which knows the other engines, limits how many are
+//! ejected at once.
 
 use std::time::{Duration, Instant};
 
-use crate::demand::EngineOutcome;
+use crate::request::EngineOutcome;
 
-/// Failures in a row that eject an engine.
-const MAX_ERRORS_IN_ROW: u32 = 5;
+/// Consecutive failures after which an engine is ejected.
+const MAX_CONSECUTIVE_ERRORS: u32 = 5;
 
-/// Length of the first ejection.
+/// Duration of the first ejection.
 const FIRST_EJECTION: Duration = Duration::from_secs(5);
 
-/// Ejections double this many times at most.
+/// Maximum number of times that the ejection's duration doubles.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Time in which a newcomer comes to its full share.
+/// Time in which an engine in slow start reaches its full share.
 const SLOW_START: Duration = Duration::from_secs(10);
 
-/// Time for which an engine that refused for want of room is avoided.
-const BUSY_HOLD: Duration = Duration::from_millis(500);
+/// Time for which an engine is avoided after it refused as busy.
+const BUSY_COOLDOWN: Duration = Duration::from_millis(500);
 
-/// Time for which an engine's refusal as leaving is believed, unless a later
-/// report says otherwise.
-const LEAVING_HOLD: Duration = Duration::from_secs(10);
+/// Time for which an engine counts as draining after it refused as such, unless
+/// a later report says that it is live.
+const LEAVING_COOLDOWN: Duration = Duration::from_secs(10);
 
-/// Time for which an engine's refusal as loading is believed. Load reports
-/// don't tell of it, so this is also the time between two probes.
-const LOADING_HOLD: Duration = Duration::from_secs(2);
+/// Time for which an engine counts as loading a model after it refused as such.
+/// Load reports don't show this state, so this is also the time between two
+/// attempts.
+const LOADING_COOLDOWN: Duration = Duration::from_secs(2);
 
-/// Failed reports in a row that make an engine count as unreachable.
-const MAX_REPORTS_FAILED: u32 = 3;
+/// Consecutive failed reports from which an engine counts as unreachable.
+const MAX_CONSECUTIVE_FAILED_REPORTS: u32 = 3;
 
-/// What may be done with an engine.
+/// State of the ejection cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    Normal,
+    Active,
     Ejected { until: Instant },
     Probing,
 }
 
-/// Standing of one engine.
+/// Health of one engine.
 #[derive(Debug)]
 pub(crate) struct Health {
     phase: Phase,
-    errors_in_row: u32,
-    reports_failed: u32,
+    consecutive_errors: u32,
+    consecutive_failed_reports: u32,
     ejections: u32,
     full_share_at: Option<Instant>,
     busy_until: Option<Instant>,
@@ -57,12 +59,12 @@
 }
 
 impl Health {
-    /// Standing of an engine that was there from the start.
-    pub(crate) fn settled() -> Self {
+    /// Health of an engine without slow start.
+    pub(crate) fn established() -> Self {
         Self {
-            phase: Phase::Normal,
-            errors_in_row: 0,
-            reports_failed: 0,
+            phase: Phase::Active,
+            consecutive_errors: 0,
+            consecutive_failed_reports: 0,
             ejections: 0,
             full_share_at: None,
             busy_until: None,
@@ -71,54 +73,54 @@
         }
     }
 
-    /// Standing of an engine that joined at `now`.
-    pub(crate) fn newcomer(now: Instant) -> Self {
+    /// Health of an engine that joined at `now` and is in slow start.
+    pub(crate) fn joining(now: Instant) -> Self {
         Self {
             full_share_at: Some(now + SLOW_START),
-            ..Self::settled()
+            ..Self::established()
         }
     }
 
-    /// Takes in an outcome; true when the engine should be ejected.
+    /// Records an outcome; returns true if the engine should be ejected.
     pub(crate) fn record_outcome(&mut self, outcome: EngineOutcome, now: Instant) -> bool {
         match outcome {
             EngineOutcome::Success => {
-                self.succeeded(now);
+                self.record_success(now);
                 false
             }
-            EngineOutcome::Error | EngineOutcome::Timeout => self.failed(),
+            EngineOutcome::Error | EngineOutcome::Timeout => self.record_failure(),
             EngineOutcome::Unreachable => {
-                // Until its next report: a dead engine has nothing to do and
-                // would draw all work to itself.
-                self.reports_failed = MAX_REPORTS_FAILED;
-                self.failed()
+                // Unreachable until its next report: a dead engine appears idle
+                // and would attract all requests.
+                self.consecutive_failed_reports = MAX_CONSECUTIVE_FAILED_REPORTS;
+                self.record_failure()
             }
             EngineOutcome::Busy => {
-                self.busy_until = Some(now + BUSY_HOLD);
+                self.busy_until = Some(now + BUSY_COOLDOWN);
                 false
             }
             EngineOutcome::Leaving => {
-                self.leaving_until = Some(now + LEAVING_HOLD);
+                self.leaving_until = Some(now + LEAVING_COOLDOWN);
                 false
             }
             EngineOutcome::Loading => {
-                self.loading_until = Some(now + LOADING_HOLD);
+                self.loading_until = Some(now + LOADING_COOLDOWN);
                 false
             }
         }
     }
 
     pub(crate) fn record_report_failure(&mut self) {
-        self.reports_failed = self.reports_failed.saturating_add(1);
+        self.consecutive_failed_reports = self.consecutive_failed_reports.saturating_add(1);
     }
 
-    pub(crate) fn report_arrived(&mut self) {
-        self.reports_failed = 0;
+    pub(crate) fn record_report(&mut self) {
+        self.consecutive_failed_reports = 0;
     }
 
-    /// Notes a report that was measured at `measured_at` by an engine that stays.
-    pub(crate) fn reported_live(&mut self, measured_at: Instant) {
-        let refused_at = self.leaving_until.map(|until| until - LEAVING_HOLD);
+    /// Records a report, measured at `measured_at`, that the engine is live.
+    pub(crate) fn record_live_report(&mut self, measured_at: Instant) {
+        let refused_at = self.leaving_until.map(|until| until - LEAVING_COOLDOWN);
         if refused_at.is_some_and(|at| measured_at > at) {
             self.leaving_until = None;
         }
@@ -129,11 +131,11 @@
         let until = now + FIRST_EJECTION * 2_u32.pow(doublings);
         self.phase = Phase::Ejected { until };
         self.ejections += 1;
-        self.errors_in_row = 0;
+        self.consecutive_errors = 0;
     }
 
-    /// Lets an engine whose ejection is over be probed; true when it changes.
-    pub(crate) fn review(&mut self, now: Instant) -> bool {
+    /// Starts probing an engine whose ejection has ended; returns whether it did.
+    pub(crate) fn start_probe_if_due(&mut self, now: Instant) -> bool {
         match self.phase {
             Phase::Ejected { until } if now >= until => {
                 self.phase = Phase::Probing;
@@ -152,7 +154,7 @@
     }
 
     pub(crate) fn is_unreachable(&self) -> bool {
-        self.reports_failed >= MAX_REPORTS_FAILED
+        self.consecutive_failed_reports >= MAX_CONSECUTIVE_FAILED_REPORTS
     }
 
     pub(crate) fn refuses_as_leaving(&self, now: Instant) -> bool {
@@ -167,32 +169,32 @@
         self.busy_until.is_some_and(|until| now < until)
     }
 
-    /// Share of an ordinary engine's work that this one may have, from 0 to 1.
-    pub(crate) fn share(&self, now: Instant) -> f64 {
+    /// Share of a regular engine's work that this one may get, from 0 to 1.
+    pub(crate) fn work_share(&self, now: Instant) -> f64 {
         match self.full_share_at {
-            Some(full) if now < full => 1.0 - (full - now).div_duration_f64(SLOW_START),
+            Some(full_at) if now < full_at => 1.0 - (full_at - now).div_duration_f64(SLOW_START),
             _ => 1.0,
         }
     }
 
-    fn succeeded(&mut self, now: Instant) {
-        self.errors_in_row = 0;
-        self.reports_failed = 0;
+    fn record_success(&mut self, now: Instant) {
+        self.consecutive_errors = 0;
+        self.consecutive_failed_reports = 0;
         if self.phase == Phase::Probing {
-            self.phase = Phase::Normal;
+            self.phase = Phase::Active;
             self.full_share_at = Some(now + SLOW_START);
-        } else if self.share(now) >= 1.0 {
+        } else if self.work_share(now) >= 1.0 {
             self.ejections = 0;
         }
     }
 
-    fn failed(&mut self) -> bool {
-        self.errors_in_row = self.errors_in_row.saturating_add(1);
-        let may_fail = match self.phase {
-            Phase::Normal => MAX_ERRORS_IN_ROW,
+    fn record_failure(&mut self) -> bool {
+        self.consecutive_errors = self.consecutive_errors.saturating_add(1);
+        let max_errors = match self.phase {
+            Phase::Active => MAX_CONSECUTIVE_ERRORS,
             Phase::Ejected { .. } => u32::MAX,
             Phase::Probing => 1,
         };
-        self.errors_in_row >= may_fail
+        self.consecutive_errors >= max_errors
     }
 }
--- a/crates/placement/src/border.rs
+++ b/crates/placement/src/length_class.rs
@@ -1,11 +1,11 @@
-//! Which part of the stable order a prompt's length belongs to.
+//! Length classes and their intervals of a model's stable engine order.
 //!
-//! Prompts fall into classes by the work they bring, and each class has an
-//! interval of the order, short ones first, as wide as its share of the recent
-//! demand. So the borders move with the demand, and since every daemon counts
-//! its peers' demand too, all have nearly the same borders. Short classes get
-//! more than their share: what is idle for a moment is kept where waiting hurts
-//! most, in proportion to the prompt's own time.
+//! Prompts are classified by their uncached tokens. Each class has an interval
+//! of the order, short classes first, whose width is the class's share of recent
+//! demand, so the intervals follow the demand. Every daemon counts its peers'
+//! demand too, so all daemons have nearly the same intervals. Short classes get
+//! more than their share: spare capacity is best kept for prompts whose waiting
+//! time is long in proportion to their own run time.
 
 use std::time::{Duration, Instant};
 
@@ -17,20 +17,21 @@
 /// Work by length class, shortest first, in tokens.
 pub(crate) type ClassTokens = [u64; LENGTH_CLASSES];
 
-/// Upper bounds of all classes but the last, in tokens of uncached prompt.
+/// Upper bounds of all classes but the last, in uncached tokens.
 const CLASS_BOUNDS_TOKENS: [u64; LENGTH_CLASSES - 1] = [2_048, 8_192, 32_768, 131_072, 524_288];
 
-/// Time in which demand loses half its weight.
-const HALF_LIFE: Duration = Duration::from_secs(30);
+/// Half-life of recorded demand.
+const DEMAND_HALF_LIFE: Duration = Duration::from_secs(30);
 
-/// Demand that every class is taken to have had, in tokens: it only decides
-/// while nothing was asked for yet.
-const PRIOR_TOKENS: f64 = 4_096.0;
+/// Demand assumed for every class in addition to the recorded one, in tokens;
+/// it only matters while hardly any was recorded.
+const PRIOR_DEMAND_TOKENS: f64 = 4_096.0;
 
-/// Width given to the shortest class for its demand, relative to the longest.
-const SHORT_WIDTH: f64 = 2.0;
+/// Interval width per demand of the shortest class, relative to the longest
+/// class.
+const SHORT_CLASS_WIDTH_FACTOR: f64 = 2.0;
 
-/// Class of a prompt that brings `tokens` of work.
+/// Class of a prompt with `tokens` uncached tokens.
 pub(crate) fn length_class(tokens: u64) -> usize {
     CLASS_BOUNDS_TOKENS
         .iter()
@@ -38,7 +39,7 @@
         .count()
 }
 
-/// Part of the stable order, from 0 to 1.
+/// Interval of the stable order, within 0 to 1.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Interval {
     pub(crate) start: f64,
@@ -46,7 +47,7 @@
 }
 
 impl Interval {
-    /// Part of the order that the `index`-th of `count` engines stands for.
+    /// Interval covered by the `index`-th of `count` engines.
     pub(crate) fn of_engine(index: usize, count: usize) -> Self {
         let width = 1.0 / count.max(1) as f64;
         Self {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Gap between two intervals; zero when they meet.
+    /// Gap between two intervals; zero when they touch or overlap.
     pub(crate) fn distance(&self, other: &Self) -> f64 {
         let below = other.start - self.end;
         let above = self.start - other.end;
@@ -73,12 +74,12 @@
 impl DemandByLength {
     pub(crate) fn new() -> Self {
         Self {
-            own: [DecayedSum::new(HALF_LIFE); LENGTH_CLASSES],
+            own: [DecayedSum::new(DEMAND_HALF_LIFE); LENGTH_CLASSES],
             peers: [0; LENGTH_CLASSES],
         }
     }
 
-    /// Notes a placed prompt of `class`.
+    /// Records a placed prompt of `class`.
     pub(crate) fn add(&mut self, class: usize, work_tokens: f64, now: Instant) {
         self.own[class].add(work_tokens, now);
     }
@@ -88,21 +89,21 @@
         self.own.map(|sum| sum.at(now) as u64)
     }
 
-    /// Adds what a peer says of its demand.
+    /// Adds the demand that a peer published.
     pub(crate) fn add_peer(&mut self, tokens: &ClassTokens) {
         for (sum, tokens) in self.peers.iter_mut().zip(tokens) {
             *sum = sum.saturating_add(*tokens);
         }
     }
 
-    /// Takes out what [`Self::add_peer`] added.
+    /// Subtracts what [`Self::add_peer`] added.
     pub(crate) fn remove_peer(&mut self, tokens: &ClassTokens) {
         for (sum, tokens) in self.peers.iter_mut().zip(tokens) {
             *sum = sum.saturating_sub(*tokens);
         }
     }
 
-    /// Forgets all peers.
+    /// Resets the demand of all peers.
     pub(crate) fn clear_peers(&mut self) {
         self.peers = [0; LENGTH_CLASSES];
     }
@@ -111,7 +112,7 @@
     pub(crate) fn intervals(&self, now: Instant) -> [Interval; LENGTH_CLASSES] {
         let mut widths = [0.0; LENGTH_CLASSES];
         for (class, width) in widths.iter_mut().enumerate() {
-            let tokens = self.own[class].at(now) + self.peers[class] as f64 + PRIOR_TOKENS;
+            let tokens = self.own[class].at(now) + self.peers[class] as f64 + PRIOR_DEMAND_TOKENS;
             *width = tokens * width_factor(class);
         }
         let total: f64 = widths.iter().sum();
@@ -127,8 +128,9 @@
     }
 }
 
-/// Falls evenly from the shortest class's factor to one.
+/// Decreases linearly from `SHORT_CLASS_WIDTH_FACTOR` for the shortest class to
+/// 1 for the longest.
 fn width_factor(class: usize) -> f64 {
     let steps = (LENGTH_CLASSES - 1) as f64;
-    SHORT_WIDTH - (SHORT_WIDTH - 1.0) * class as f64 / steps
+    SHORT_CLASS_WIDTH_FACTOR - (SHORT_CLASS_WIDTH_FACTOR - 1.0) * class as f64 / steps
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,45 +1,42 @@
-//! Load and cache view, length-aware routing, engine groups.
+//! Length-aware engine selection with load and prefix-cache tracking.
 //!
-//! Owns the choice of an engine for each request, made by each daemon alone
-//! from its own view: what engines report ([`LoadReport`], [`CacheEvents`]),
-//! what this daemon has placed since, and what other daemons say they have
-//! placed. `platform` hands in the list of engines, `upstream` the reports,
-//! cache events and outcomes, `peers` the views of other daemons; `admission`
-//! asks for estimates and `entry` for places. Nothing in here does any input or
-//! output, and every decision asks one [`Clock`] for the time.
+//! Selects an engine, or a group of engines, for each request. Each daemon
+//! decides on its own from three sources: what engines report
+//! ([`LoadReport`], [`CacheEvents`]), what this daemon has placed since, and
+//! the placements that other daemons publish. `platform` supplies the list of
+//! engines, `upstream` the reports, cache events and outcomes, and `peers` the
+//! views of other daemons. `admission` requests estimates and `entry` places
+//! requests. The crate does no I/O and takes the time only from a [`Clock`].
 //!
-//! `docs/design/placement.md` tells the ways that were weighed.
+//! See `docs/design/placement.md` for the alternatives considered.
 
 mod backlog;
-mod bars;
-mod border;
 mod cache;
 mod choose;
 mod clock;
 mod decayed;
-mod demand;
+mod eligibility;
 mod engine;
 mod estimate;
 mod explain;
-mod gossip;
 mod group;
 mod health;
+mod length_class;
 mod model;
 mod options;
+mod own_work;
+mod peer_views;
 mod peer_work;
 mod placed;
 mod placement;
+mod prefill;
 mod priority;
-mod rates;
 mod report;
-mod view;
-mod work;
+mod request;
+mod state;
 
 pub use crate::clock::Clock;
 pub use crate::decayed::{DecayedSum, SmoothedMean};
-pub use crate::demand::{
-    EngineInfo, EngineOutcome, Estimate, GroupMember, NoEngine, PlacementRequest,
-};
 pub use crate::explain::{
     CandidateEngine, EngineStatus, Explanation, PlacementStatus, SelectionReason,
 };
@@ -50,3 +47,6 @@
     CacheEvent, CacheEventKind, CacheEvents, CacheSnapshot, CacheSync, EngineRole, EngineState,
     LoadReport,
 };
+pub use crate::request::{
+    EngineInfo, EngineOutcome, Estimate, GroupMember, NoEngine, PlacementRequest,
+};
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -1,4 +1,4 @@
-//! Settings of the placement.
+//! Options of a placement.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 
 use crate::clock::Clock;
 
-/// One-way latency between availability zones, until it is set otherwise.
+/// Default one-way latency between availability zones.
 pub const DEFAULT_ZONE_PENALTY: Duration = Duration::from_micros(1_500);
 
-/// How an engine is chosen.
+/// Policy by which engines are selected.
 ///
-/// Only [`Policy::LengthAware`] is meant for service; the others are baselines
-/// for experiments, and send all requests with one priority.
+/// Only [`Policy::LengthAware`] is meant for production; the others are baselines
+/// for experiments and send all requests with the same priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Policy {
-    /// Short and long prompts from opposite ends of a stable order.
+    /// Places short and long prompts from opposite ends of a stable order.
     #[default]
     LengthAware,
-    /// The engine with the fewest own requests outstanding.
+    /// Selects the engine with the fewest outstanding requests of this daemon.
     LeastOutstanding,
-    /// One engine after the other.
+    /// Selects engines in turn.
     RoundRobin,
 }
 
-/// Builder of a [`Placement`](crate::Placement)'s settings.
+/// Options of a [`Placement`](crate::Placement), set by builder methods.
 #[derive(Debug, Clone)]
 pub struct PlacementOptions {
     pub(crate) daemon: InstanceId,
@@ -35,7 +35,7 @@
 }
 
 impl PlacementOptions {
-    /// Settings of the daemon `daemon` in `availability_zone`.
+    /// Default options for the daemon named `daemon` in `availability_zone`.
     #[must_use]
     pub fn new(daemon: InstanceId, availability_zone: AvailabilityZone) -> Self {
         Self {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Sets how an engine is chosen.
+    /// Sets the selection policy.
     #[must_use]
     pub fn policy(mut self, policy: Policy) -> Self {
         self.policy = policy;
--- a/crates/placement/src/work.rs
+++ b/crates/placement/src/own_work.rs
@@ -1,4 +1,4 @@
-//! Requests that this daemon has placed on one engine.
+//! This daemon's outstanding requests on one engine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -11,7 +11,7 @@
 /// Priorities in one band.
 const PRIORITIES_PER_BAND: usize = 256 / BANDS;
 
-/// Number of a placed request within its engine.
+/// Identifies a placed request on its engine.
 pub(crate) type WorkId = u64;
 
 /// Waiting prefill work by priority band, most urgent first, in tokens.
@@ -25,92 +25,93 @@
 /// One placed request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Work {
-    /// When it was placed.
+    /// Time of the placement.
     pub(crate) placed_at: Instant,
-    /// Priority it was sent with.
+    /// Priority that was sent to the engine.
     pub(crate) priority: u8,
-    /// Prompt tokens to be computed.
+    /// Prompt tokens to compute.
     pub(crate) prefill_tokens: u64,
-    /// Memory that it takes, in tokens.
+    /// KV memory that the request occupies, in tokens.
     pub(crate) kv_tokens: u64,
-    /// More urgent work that may still go ahead of it, in tokens; kept only
-    /// for prompts long enough to be overtaken often.
-    pub(crate) overtaking_left_tokens: Option<i64>,
+    /// More urgent work that may still overtake the request, in tokens; set only
+    /// for long prompts.
+    pub(crate) overtaking_budget_tokens: Option<i64>,
 }
 
-/// Requests placed on one engine that have not ended.
+/// Outstanding requests placed on one engine.
 ///
-/// Invariants: `waiting` and `overtakable` are subsets of the ids in `all`;
-/// `waiting_tokens` is the sum over `waiting` by band; the two sums "since
-/// report" run over the works in `all` that were placed since `measured_at`,
-/// the first over those that also wait. All of them are zero when `all` is
-/// empty.
+/// Invariants: `waiting` and the keys of `overtaking_budgets` are subsets of the
+/// ids in `requests`; `waiting_tokens` is the sum over `waiting` by band. The two
+/// `since_report` sums cover the requests placed since `measured_at`:
+/// `since_report_tokens` those that are waiting, `since_report_kv_tokens` all.
+/// All sums are zero when `requests` is empty.
 #[derive(Debug, Default)]
 pub(crate) struct OwnWork {
     next_id: WorkId,
-    all: BTreeMap<WorkId, Work>,
+    requests: BTreeMap<WorkId, Work>,
     waiting: BTreeSet<WorkId>,
-    overtakable: BTreeMap<WorkId, Overtakable>,
+    overtaking_budgets: BTreeMap<WorkId, OvertakingBudget>,
     waiting_tokens: BandTokens,
     since_report_tokens: BandTokens,
     since_report_kv_tokens: u64,
     measured_at: Option<Instant>,
 }
 
-/// A waiting long prompt and what may still go ahead of it.
+/// Work that may still overtake a waiting long prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Overtakable {
-    /// Priority that it was sent with.
+pub(crate) struct OvertakingBudget {
+    /// Priority of the prompt.
     pub(crate) priority: u8,
-    /// More urgent work that may still be placed there, in tokens.
+    /// More urgent work that may still be placed on the engine, in tokens.
     pub(crate) left_tokens: i64,
 }
 
 impl OwnWork {
     pub(crate) fn outstanding(&self) -> u32 {
-        u32::try_from(self.all.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.requests.len()).unwrap_or(u32::MAX)
     }
 
     pub(crate) fn waiting_tokens(&self) -> &BandTokens {
         &self.waiting_tokens
     }
 
-    /// Waiting tokens by band, placed after the last report was measured.
+    /// Waiting tokens by band of requests placed after the last report was
+    /// measured.
     pub(crate) fn since_report_tokens(&self) -> &BandTokens {
         &self.since_report_tokens
     }
 
-    /// Memory of the requests placed after the last report was measured.
+    /// KV memory of requests placed after the last report was measured, in tokens.
     pub(crate) fn since_report_kv_tokens(&self) -> u64 {
         self.since_report_kv_tokens
     }
 
-    /// When the oldest request that still waits was placed.
+    /// Time at which the oldest waiting request was placed.
     pub(crate) fn oldest_waiting(&self) -> Option<Instant> {
         let id = self.waiting.first()?;
-        self.all.get(id).map(|work| work.placed_at)
+        self.requests.get(id).map(|work| work.placed_at)
     }
 
-    /// The waiting request less urgent than `priority` that least may overtake.
-    pub(crate) fn most_overtaken(&self, priority: u8) -> Option<Overtakable> {
-        self.overtakable
+    /// Smallest budget among the waiting long prompts less urgent than `priority`.
+    pub(crate) fn smallest_overtaking_budget(&self, priority: u8) -> Option<OvertakingBudget> {
+        self.overtaking_budgets
             .values()
-            .filter(|overtakable| overtakable.priority > priority)
-            .min_by_key(|overtakable| overtakable.left_tokens)
+            .filter(|budget| budget.priority > priority)
+            .min_by_key(|budget| budget.left_tokens)
             .copied()
     }
 
     pub(crate) fn add(&mut self, work: Work) -> WorkId {
         let id = self.next_id;
         self.next_id += 1;
-        self.spend_overtaking(&work);
-        if let Some(left_tokens) = work.overtaking_left_tokens {
+        self.deduct_overtaking_budgets(&work);
+        if let Some(left_tokens) = work.overtaking_budget_tokens {
             let priority = work.priority;
-            let overtakable = Overtakable {
+            let budget = OvertakingBudget {
                 priority,
                 left_tokens,
             };
-            self.overtakable.insert(id, overtakable);
+            self.overtaking_budgets.insert(id, budget);
         }
         self.waiting_tokens[band(work.priority)] += work.prefill_tokens;
         if self.is_after_report(&work) {
@@ -118,17 +119,17 @@
             self.since_report_kv_tokens += work.kv_tokens;
         }
         self.waiting.insert(id);
-        self.all.insert(id, work);
+        self.requests.insert(id, work);
         id
     }
 
-    /// Notes that a request's prefill is done.
-    pub(crate) fn started(&mut self, id: WorkId) {
+    /// Records that a request's prefill has completed.
+    pub(crate) fn prefill_completed(&mut self, id: WorkId) {
         if !self.waiting.remove(&id) {
             return;
         }
-        self.overtakable.remove(&id);
-        let Some(work) = self.all.get(&id).copied() else {
+        self.overtaking_budgets.remove(&id);
+        let Some(work) = self.requests.get(&id).copied() else {
             return;
         };
         self.waiting_tokens[band(work.priority)] -= work.prefill_tokens;
@@ -137,10 +138,10 @@
         }
     }
 
-    /// Takes a request out.
+    /// Removes a request that has ended.
     pub(crate) fn remove(&mut self, id: WorkId) {
-        self.started(id);
-        let Some(work) = self.all.remove(&id) else {
+        self.prefill_completed(id);
+        let Some(work) = self.requests.remove(&id) else {
             return;
         };
         if self.is_after_report(&work) {
@@ -148,10 +149,13 @@
         }
     }
 
-    /// Notes when the engine's last report was measured.
-    pub(crate) fn report_measured(&mut self, at: Instant) {
+    /// Sets the time at which the engine's last report was measured.
+    pub(crate) fn set_report_time(&mut self, at: Instant) {
         self.measured_at = Some(at);
-        let newer = self.all.iter().filter(|(_, work)| work.placed_at >= at);
+        let newer = self
+            .requests
+            .iter()
+            .filter(|(_, work)| work.placed_at >= at);
         let (mut tokens, mut kv_tokens) = ([0; BANDS], 0);
         for (id, work) in newer {
             kv_tokens += work.kv_tokens;
@@ -167,11 +171,11 @@
         self.measured_at.is_none_or(|at| work.placed_at >= at)
     }
 
-    fn spend_overtaking(&mut self, work: &Work) {
+    fn deduct_overtaking_budgets(&mut self, work: &Work) {
         let tokens = i64::try_from(work.prefill_tokens).unwrap_or(i64::MAX);
-        for overtakable in self.overtakable.values_mut() {
-            if overtakable.priority > work.priority {
-                overtakable.left_tokens = overtakable.left_tokens.saturating_sub(tokens);
+        for budget in self.overtaking_budgets.values_mut() {
+            if budget.priority > work.priority {
+                budget.left_tokens = budget.left_tokens.saturating_sub(tokens);
             }
         }
     }
--- a/crates/placement/src/gossip.rs
+++ b/crates/placement/src/peer_views.rs
@@ -1,10 +1,10 @@
-//! What daemons tell each other about their outstanding placements.
+//! Views in which daemons publish their outstanding placements to each other.
 //!
-//! A view names engines and models by 32-bit hashes: two that share one would
-//! only be taken to be busier than they are. Views are bounded in bytes; the
-//! engines with most waiting work go first. A view replaces its sender's former
-//! one, and is dropped when the sender has been silent for a while or has come
-//! back in a later life.
+//! A view identifies engines and models by 32-bit hashes: on a collision, both
+//! would only appear busier than they are. The encoded size is limited; engines
+//! with the most waiting work have precedence. A view replaces the previous one
+//! of the same daemon. It is dropped if the daemon sends none for a while or
+//! sends one from a later incarnation.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,69 +14,71 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::border::ClassTokens;
-use crate::work::Overtakable;
+use crate::length_class::ClassTokens;
+use crate::own_work::OvertakingBudget;
 
-/// Largest view, in bytes.
+/// Maximum size of an encoded view, in bytes.
 pub(crate) const MAX_VIEW_BYTES: usize = 2_048;
 
-/// Most engines in one view.
+/// Maximum number of engines in one view.
 const MAX_ENGINES: usize = 128;
 
-/// Peers whose views are kept.
+/// Maximum number of peers whose views are kept.
 const MAX_PEERS: usize = 1_024;
 
-/// Time after which a silent peer's view is dropped.
+/// Time after which a peer's view expires unless a newer one arrives.
 pub(crate) const VIEW_LIFETIME: Duration = Duration::from_secs(10);
 
-/// Hash of a name.
-pub(crate) type NameKey = u32;
+/// Hash that identifies an engine, model or daemon by its name.
+pub(crate) type NameHash = u32;
 
-/// Hash that stands for `name` in a view.
-pub(crate) fn name_key(name: &str) -> NameKey {
-    xxh3_64(name.as_bytes()) as NameKey
+/// Computes the hash that identifies `name`.
+pub(crate) fn name_hash(name: &str) -> NameHash {
+    xxh3_64(name.as_bytes()) as NameHash
 }
 
 /// One daemon's outstanding placements.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct View {
-    /// Grows with each view of a life.
+pub(crate) struct PlacementView {
+    /// Increases with each new view of an incarnation.
     pub(crate) sequence: u64,
     /// Recent demand by model.
     pub(crate) models: Vec<ModelDemand>,
-    /// Outstanding work by engine, most waiting work first.
+    /// Outstanding work by engine, the most waiting work first.
     pub(crate) engines: Vec<EngineWork>,
 }
 
 /// Recent demand for one model.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ModelDemand {
-    pub(crate) model: NameKey,
+    pub(crate) model: NameHash,
     pub(crate) tokens: ClassTokens,
 }
 
 /// Outstanding work on one engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EngineWork {
-    pub(crate) engine: NameKey,
-    /// Requests that have not ended.
+    pub(crate) engine: NameHash,
+    /// Outstanding requests.
     pub(crate) outstanding: u32,
     /// Waiting prefill work of each priority band that has any, in tokens.
     pub(crate) waiting_tokens: Vec<(u8, u64)>,
-    /// Part of it that was placed after the engine's last report.
+    /// Part of the waiting work placed after the engine's last report.
     pub(crate) since_report_tokens: u64,
-    /// The waiting long prompt that least may overtake.
-    pub(crate) most_overtaken: Option<Overtakable>,
+    /// Waiting long prompt with the smallest remaining overtaking budget.
+    pub(crate) most_overtaken: Option<OvertakingBudget>,
 }
 
-impl View {
-    /// Whether there is nothing in it that could expire.
+impl PlacementView {
+    /// Whether the view has neither work nor demand, so that its expiry would
+    /// change nothing.
     pub(crate) fn is_idle(&self) -> bool {
         let no_demand = |model: &ModelDemand| model.tokens == ClassTokens::default();
         self.engines.is_empty() && self.models.iter().all(no_demand)
     }
 
-    /// Encodes the view, leaving out idle engines until it is small enough.
+    /// Encodes the view, dropping the engines with the least waiting work until
+    /// it is small enough.
     pub(crate) fn encode(mut self) -> Bytes {
         self.engines.sort_by_key(|engine| {
             let waiting: u64 = engine
@@ -102,8 +104,8 @@
 
 /// Views of all peers.
 ///
-/// Invariant: for each peer, the view of the highest incarnation and sequence
-/// that was received, unless it has expired.
+/// Invariant: holds for each peer the received view with the highest incarnation
+/// and sequence, unless it has expired.
 #[derive(Debug, Default)]
 pub(crate) struct PeerViews {
     peers: BTreeMap<InstanceId, PeerView>,
@@ -113,10 +115,8 @@
 #[derive(Debug)]
 pub(crate) struct PeerView {
     incarnation: Incarnation,
-    /// When it came in.
     pub(crate) received_at: Instant,
-    /// What it says.
-    pub(crate) view: View,
+    pub(crate) view: PlacementView,
 }
 
 impl PeerViews {
@@ -124,13 +124,15 @@
         self.peers.len()
     }
 
-    /// Every view with its sender.
+    /// All views with their senders.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&InstanceId, &PeerView)> {
         self.peers.iter()
     }
 
-    /// Takes in a view; returns the one that it replaces, if any, and itself,
-    /// or nothing when it is refused.
+    /// Stores a view and returns the replaced one, if any, and the new one.
+    ///
+    /// Returns `None` if the view is malformed, not newer than the known one, or
+    /// from one peer too many.
     pub(crate) fn accept(
         &mut self,
         daemon: &InstanceId,
@@ -147,17 +149,17 @@
         if newest.is_none() && self.peers.len() >= MAX_PEERS {
             return None;
         }
-        let former = self.peers.remove(daemon);
+        let previous = self.peers.remove(daemon);
         let peer = PeerView {
             incarnation,
             received_at: now,
             view,
         };
         let peer = self.peers.entry(daemon.clone()).or_insert(peer);
-        Some((former, peer))
+        Some((previous, peer))
     }
 
-    /// Takes out the views of peers that have been silent for too long.
+    /// Removes and returns the expired views.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<(InstanceId, PeerView)> {
         self.peers
             .extract_if(.., |_, peer| now - peer.received_at > VIEW_LIFETIME)
@@ -165,15 +167,15 @@
     }
 }
 
-fn decode(daemon: &InstanceId, encoded: &[u8]) -> Option<View> {
+fn decode(daemon: &InstanceId, encoded: &[u8]) -> Option<PlacementView> {
     if encoded.len() > MAX_VIEW_BYTES {
-        log::warn!("placement: view of {daemon} is too large");
+        log::warn!("placement: view from {daemon} exceeds the maximum size");
         return None;
     }
     match postcard::from_bytes(encoded) {
         Ok(view) => Some(view),
         Err(error) => {
-            log::warn!("placement: view of {daemon} can't be read: {error}");
+            log::warn!("placement: failed to decode the view from {daemon}: {error}");
             None
         }
     }
--- a/crates/placement/src/peer_work.rs
+++ b/crates/placement/src/peer_work.rs
@@ -1,27 +1,28 @@
-//! Requests that peers have placed on one engine, as far as they told.
+//! Peers' outstanding requests on one engine, according to their views.
 
 use std::time::Instant;
 
-use crate::gossip::{EngineWork, NameKey};
-use crate::work::{BandTokens, Overtakable};
+use crate::own_work::{BandTokens, OvertakingBudget};
+use crate::peer_views::{EngineWork, NameHash};
 
 /// Outstanding work of all peers on one engine.
 ///
-/// Invariant: each number is the sum over the peers' views in force.
+/// Invariant: each number is the sum over the peers' current views.
 #[derive(Debug, Default)]
 pub(crate) struct PeerWork {
     pub(crate) outstanding: u32,
     pub(crate) waiting_tokens: BandTokens,
     pub(crate) since_report_tokens: u64,
-    most_overtaken: Vec<(NameKey, Overtakable)>,
-    /// Each view's waiting tokens by the time of its receipt after `epoch`.
+    overtaking_budgets: Vec<(NameHash, OvertakingBudget)>,
+    /// Sum over the views of waiting tokens times the seconds from `epoch` to the
+    /// view's receipt.
     token_seconds: f64,
     epoch: Option<Instant>,
 }
 
 impl PeerWork {
-    /// Adds the work that `peer` told of at `received_at`.
-    pub(crate) fn add(&mut self, peer: NameKey, work: &EngineWork, received_at: Instant) {
+    /// Adds the work in a view of `peer` received at `received_at`.
+    pub(crate) fn add(&mut self, peer: NameHash, work: &EngineWork, received_at: Instant) {
         self.outstanding = self.outstanding.saturating_add(work.outstanding);
         self.since_report_tokens = self
             .since_report_tokens
@@ -31,14 +32,14 @@
                 *sum = sum.saturating_add(*tokens);
             }
         }
-        if let Some(overtakable) = work.most_overtaken {
-            self.most_overtaken.push((peer, overtakable));
+        if let Some(budget) = work.most_overtaken {
+            self.overtaking_budgets.push((peer, budget));
         }
         self.token_seconds += self.token_seconds_of(work, received_at);
     }
 
-    /// Takes out what [`Self::add`] added.
-    pub(crate) fn remove(&mut self, peer: NameKey, work: &EngineWork, received_at: Instant) {
+    /// Subtracts what [`Self::add`] added.
+    pub(crate) fn remove(&mut self, peer: NameHash, work: &EngineWork, received_at: Instant) {
         self.outstanding = self.outstanding.saturating_sub(work.outstanding);
         self.since_report_tokens = self
             .since_report_tokens
@@ -48,7 +49,7 @@
                 *sum = sum.saturating_sub(*tokens);
             }
         }
-        self.most_overtaken.retain(|(from, _)| *from != peer);
+        self.overtaking_budgets.retain(|(from, _)| *from != peer);
         self.token_seconds -= self.token_seconds_of(work, received_at);
         if self.total_tokens() == 0.0 {
             self.token_seconds = 0.0;
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Mean age of the waiting work's views, in seconds.
-    pub(crate) fn age_s(&self, now: Instant) -> f64 {
+    /// Mean age of the views, weighted by their waiting tokens, in seconds.
+    pub(crate) fn mean_age_s(&self, now: Instant) -> f64 {
         let total = self.total_tokens();
         let Some(epoch) = self.epoch.filter(|_| total > 0.0) else {
             return 0.0;
@@ -66,11 +67,9 @@
         (now_s - self.token_seconds / total).max(0.0)
     }
 
-    /// For each peer, its waiting long prompt that least may overtake.
-    pub(crate) fn most_overtaken(&self) -> impl Iterator<Item = Overtakable> {
-        self.most_overtaken
-            .iter()
-            .map(|(_, overtakable)| *overtakable)
+    /// Smallest overtaking budget of each peer's waiting long prompts.
+    pub(crate) fn overtaking_budgets(&self) -> impl Iterator<Item = OvertakingBudget> {
+        self.overtaking_budgets.iter().map(|(_, budget)| *budget)
     }
 
     fn total_tokens(&self) -> f64 {
--- a/crates/placement/src/rates.rs
+++ b/crates/placement/src/prefill.rs
@@ -1,51 +1,51 @@
-//! An engine's prefill rate, learned from the first tokens it gave.
+//! Linear model of an engine's prefill time, learned from observed requests.
 //!
-//! Time to first token is taken as a line over the work in front of it (queued
-//! and uncached tokens): a fixed part and a time for each token. The line is
-//! fitted by least squares over samples that are weighted by the inverse
-//! square of their size, since their scatter grows with their size and prompts
-//! differ a thousandfold; without the weights one prompt of a million tokens
-//! would decide the fixed part of all short ones. Samples fade within half a
-//! minute, so a belief that no traffic renews returns to the prior, which is
-//! the typical line of the model's other engines.
+//! The time to first token is modelled as a fixed part plus a time per token of
+//! work (queued and uncached tokens). The line is fitted by weighted least
+//! squares. Weights are the inverse square of a sample's size, because errors
+//! grow with the size and prompts differ by a factor of a thousand: without
+//! weights, one prompt of a million tokens would determine the fixed part for
+//! all short ones. Samples decay with a half-life of 30 seconds, so without
+//! traffic the line returns to the prior, the median line of the model's
+//! engines.
 
 use std::time::{Duration, Instant};
 
-/// Time in which a sample loses half its weight.
+/// Half-life of a sample's weight.
 const HALF_LIFE: Duration = Duration::from_secs(30);
 
-/// Share of the sums that each new sample leaves.
-const RETAINED: f64 = 0.98;
+/// Factor by which each new sample reduces the weight of earlier ones.
+const SAMPLE_RETENTION: f64 = 0.98;
 
-/// Weight of each of the two points that stand for the prior.
+/// Weight of each of the two points that represent the prior.
 const PRIOR_WEIGHT: f64 = 0.5;
 
-/// Sizes at which the prior is held, in thousands of tokens.
+/// Sizes of the points that represent the prior, in thousands of tokens.
 const PRIOR_SIZES_K: [f64; 2] = [1.0, 64.0];
 
-/// A sample further from the prediction than this factor counts as this far.
-const MAX_SURPRISE: f64 = 8.0;
+/// Samples are clamped to within this factor of the prediction.
+const MAX_DEVIATION_FACTOR: f64 = 8.0;
 
-/// Fastest rate believed, as seconds for a token.
+/// Lower bound of the time per token, in seconds.
 const MIN_SECONDS_PER_TOKEN: f64 = 1e-7;
 
-/// Prefill rate before anything was observed or reported, in tokens a second.
+/// Prefill rate assumed until one is observed or reported, in tokens per second.
 const INITIAL_TOKENS_PER_S: f64 = 8_000.0;
 
-/// Reported rates outside this range are clamped, in tokens a second.
+/// Range to which reported rates are clamped, in tokens per second.
 const REPORTED_TOKENS_PER_S: std::ops::RangeInclusive<f64> = 500.0..=200_000.0;
 
-/// Time to first token as a line over the work.
+/// Time to first token as a linear function of the work.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct PrefillLine {
-    /// Part that does not depend on the work, in seconds.
+    /// Fixed part, in seconds.
     pub(crate) base_s: f64,
-    /// Time for each token, in seconds.
+    /// Time per token, in seconds.
     pub(crate) token_s: f64,
 }
 
 impl PrefillLine {
-    /// The line of an engine about which only its own word is known.
+    /// Line of an engine of which at most the reported rate is known.
     pub(crate) fn reported(tokens_per_s: Option<f64>) -> Self {
         let tokens_per_s = tokens_per_s
             .filter(|rate| rate.is_finite() && *rate > 0.0)
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Time for `tokens` of work, in seconds.
+    /// Time for `tokens` tokens of work, in seconds.
     pub(crate) fn time_s(&self, tokens: f64) -> f64 {
         self.base_s + tokens * self.token_s
     }
@@ -66,22 +66,22 @@
 
 /// Weighted sums of a least-squares fit.
 ///
-/// Invariant: every sum is finite and not negative; sizes are in thousands of
-/// tokens, so that the sums stay of one magnitude.
+/// Invariant: every sum is finite and not negative. Sizes are in thousands of
+/// tokens, which keeps the sums in a similar range.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct PrefillFit {
-    sums: Sums,
+    sums: RegressionSums,
     samples: u32,
     at: Option<Instant>,
 }
 
 impl PrefillFit {
-    /// Samples taken since the fit was last forgotten.
+    /// Number of samples since the fit was last reset.
     pub(crate) fn samples(&self) -> u32 {
         self.samples
     }
 
-    /// Takes in that `tokens` of work took `measured`, where `expected` was the line.
+    /// Adds a sample: `tokens` of work took `measured`, predicted by `expected`.
     pub(crate) fn observe(
         &mut self,
         tokens: f64,
@@ -90,25 +90,26 @@
         now: Instant,
     ) {
         let expected_s = expected.time_s(tokens).max(f64::MIN_POSITIVE);
-        let measured_s = measured
-            .as_secs_f64()
-            .clamp(expected_s / MAX_SURPRISE, expected_s * MAX_SURPRISE);
-        self.sums = self.faded(now).scaled(RETAINED);
+        let measured_s = measured.as_secs_f64().clamp(
+            expected_s / MAX_DEVIATION_FACTOR,
+            expected_s * MAX_DEVIATION_FACTOR,
+        );
+        self.sums = self.decayed(now).scaled(SAMPLE_RETENTION);
         self.sums.add(tokens / 1e3, measured_s, 1.0);
         self.samples = self.samples.saturating_add(1);
         self.at = Some(now);
     }
 
-    /// The line at `now`, held to `prior` as far as samples are few or old.
+    /// Line at `now`; the fewer or older the samples, the closer to `prior`.
     pub(crate) fn line(&self, prior: PrefillLine, now: Instant) -> PrefillLine {
-        let mut sums = self.faded(now);
+        let mut sums = self.decayed(now);
         for size_k in PRIOR_SIZES_K {
             sums.add(size_k, prior.time_s(size_k * 1e3), PRIOR_WEIGHT);
         }
         sums.line()
     }
 
-    fn faded(&self, now: Instant) -> Sums {
+    fn decayed(&self, now: Instant) -> RegressionSums {
         let Some(at) = self.at else {
             return self.sums;
         };
@@ -118,7 +119,7 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Sums {
+struct RegressionSums {
     n: f64,
     x: f64,
     y: f64,
@@ -126,7 +127,7 @@
     xy: f64,
 }
 
-impl Sums {
+impl RegressionSums {
     fn add(&mut self, x: f64, y: f64, weight: f64) {
         let weight = weight / ((x + 1.0) * (x + 1.0));
         self.n += weight;
@@ -150,7 +151,8 @@
         let spread = self.n * self.xx - self.x * self.x;
         let slope = (self.n * self.xy - self.x * self.y) / spread;
         let base_s = (self.y - slope * self.x) / self.n;
-        // Work can't take negative time: a fit that says so goes through zero.
+        // A negative fixed part is impossible; fits a line through the origin
+        // instead.
         let slope = if base_s < 0.0 {
             self.xy / self.xx
         } else {
--- a/crates/placement/src/report.rs
+++ b/crates/placement/src/report.rs
@@ -1,8 +1,8 @@
-//! What engines publish about themselves: load reports and cache events.
+//! Load reports and cache events of engines.
 //!
 //! The types match the bodies of `GET /v1/load`, `GET /v1/cache` and
-//! `GET /v1/cache/events`. None of it is trusted: reports lag, and may be
-//! nonsense; events come late and with gaps.
+//! `GET /v1/cache/events`. Their content is not trusted: reports lag and may be
+//! implausible, events arrive late and with gaps.
 
 use mangofront_settings::ids::Incarnation;
 use serde::{Deserialize, Serialize};
@@ -10,60 +10,60 @@
 /// Body of `GET /v1/load`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Life of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: Incarnation,
-    /// Number of this measurement within that life.
+    /// Number of this measurement within the incarnation.
     pub sequence: u64,
     /// Time since the measurement, in milliseconds.
     pub age_ms: u64,
-    /// Requests that generate tokens.
+    /// Requests that are decoding.
     pub running: u32,
-    /// Requests that wait for their prefill.
+    /// Requests waiting for their prefill.
     pub waiting: u32,
-    /// Prompt tokens still to be computed.
+    /// Prompt tokens still to compute.
     pub waiting_prefill_tokens: u64,
     /// Size of the KV cache, in tokens.
     pub kv_total_tokens: u64,
-    /// Part of the KV cache that is in use, in tokens.
+    /// Used part of the KV cache, in tokens.
     pub kv_used_tokens: u64,
-    /// Prefill rate as the engine states it, in tokens a second.
+    /// Prefill rate as reported by the engine, in tokens per second.
     pub prefill_tokens_per_s: f64,
-    /// Time of one decoding step as the engine states it, in milliseconds.
+    /// Duration of one decoding step as reported by the engine, in milliseconds.
     pub decode_step_ms: f64,
-    /// Whether the engine is to stay.
+    /// Whether the engine accepts new requests.
     pub state: EngineState,
-    /// Phase that the engine works for.
+    /// Phases that the engine serves.
     pub role: EngineRole,
 }
 
-/// Whether an engine is to stay.
+/// Whether an engine accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineState {
-    /// Takes new work.
+    /// Accepts new requests.
     Live,
-    /// Takes no new work.
+    /// Draining: accepts no new requests.
     Leaving,
 }
 
-/// Phase that an engine works for.
+/// Phases that an engine serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Prefill and decoding.
+    /// Prefill and decode.
     Mixed,
     /// Prefill only.
     Prefill,
-    /// Decoding only.
+    /// Decode only.
     Decode,
 }
 
-/// Body of `GET /v1/cache`: every block that an engine holds.
+/// Body of `GET /v1/cache`: all blocks in an engine's prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheSnapshot {
-    /// Life of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: Incarnation,
-    /// Last event that the snapshot includes.
+    /// Number of the last event that the snapshot includes.
     pub sequence: u64,
     /// Hashes of the blocks, 16 hexadecimal digits each.
     pub blocks: Vec<String>,
@@ -72,18 +72,18 @@
 /// Body of `GET /v1/cache/events`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Life of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: Incarnation,
-    /// Number that the next event will have.
+    /// Number of the next event.
     pub next_sequence: u64,
-    /// Events in the order of their numbers; some may be missing.
+    /// Events, ordered by their numbers; some may be missing.
     pub events: Vec<CacheEvent>,
 }
 
 /// One change of an engine's prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event within the engine's life.
+    /// Number of the event within the incarnation.
     pub sequence: u64,
     /// What happened to the blocks.
     pub kind: CacheEventKind,
@@ -95,20 +95,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEventKind {
-    /// They can be used from now on.
+    /// The blocks were added to the cache.
     Stored,
-    /// They are gone.
+    /// The blocks were removed from the cache.
     Evicted,
 }
 
-/// Whether the view of an engine's cache is whole.
+/// Whether the view of an engine's cache is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheSync {
-    /// Every event up to `next_sequence` is in the view.
+    /// Every event before `next_sequence` was applied.
     InSync {
-        /// Event to ask for next.
+        /// Number of the next event to request.
         next_sequence: u64,
     },
-    /// Events were missed: the view needs a snapshot.
+    /// Events were missed; a snapshot is needed.
     NeedsSnapshot,
 }
--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of the placement, and what it answers.
+//! Inputs and results of a placement.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,79 +8,79 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// One engine of the platform's list.
+/// An engine as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineInfo {
-    /// Instance that it runs on.
+    /// Instance that the engine runs on.
     pub instance: InstanceId,
-    /// Model that it serves.
+    /// Model that the engine serves.
     pub model: ModelName,
-    /// Availability zone that it is in.
+    /// Availability zone of the instance.
     pub availability_zone: AvailabilityZone,
-    /// Its HTTP address.
+    /// HTTP address.
     pub address: SocketAddr,
-    /// Whether it takes no new work.
+    /// Whether the engine is draining and takes no new requests.
     pub leaving: bool,
 }
 
-/// One request that wants an engine.
+/// A request to be placed on an engine.
 #[derive(Debug, Clone)]
 pub struct PlacementRequest {
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelName,
     /// Length of the prompt, in tokens.
     pub length_tokens: u64,
-    /// Longest answer, in tokens.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u32,
-    /// Chained hashes of the prompt's blocks, first block first.
+    /// Chained hashes of the prompt's blocks, in order.
     pub blocks: Vec<BlockHash>,
-    /// The class's target for the first token, from the request's arrival.
+    /// The class's target for the time from arrival to the first token.
     pub time_to_first_token: Duration,
-    /// Time at which the request fails if it has not finished.
+    /// Time at which the request fails if it has not completed.
     pub deadline: Instant,
 }
 
 /// Prediction for one request on one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub struct Estimate {
-    /// Time until the first token, queue included.
+    /// Time until the first token, queueing included.
     pub time_to_first_token: Duration,
     /// Time until the last token.
     pub completion: Duration,
-    /// Part of the time that is spent behind other work.
+    /// Time spent waiting for other work.
     pub queue: Duration,
-    /// Whether no engine of the model has said or shown yet how fast it is, so
-    /// that the times follow from assumed speeds.
+    /// Whether the times follow from assumed speeds, as no engine's speed was
+    /// reported or observed yet.
     pub is_assumed: bool,
 }
 
-/// Share of a long prompt that one engine of a group computes.
+/// One engine's share of a prompt that a group of engines computes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct GroupMember {
     /// Engine's instance.
     pub instance: InstanceId,
     /// Engine's HTTP address.
     pub address: SocketAddr,
-    /// Tokens to reserve there.
+    /// Tokens of KV memory to reserve.
     pub tokens: u64,
 }
 
 /// How a request ended on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineOutcome {
-    /// It finished.
+    /// The request completed.
     Success,
     /// The engine failed or broke the connection.
     Error,
-    /// The engine did not answer in time.
+    /// The engine did not respond in time.
     Timeout,
-    /// No connection to the engine could be made.
+    /// No connection to the engine could be established.
     Unreachable,
-    /// The engine refused for want of room.
+    /// The engine refused the request for lack of capacity.
     Busy,
-    /// The engine refused because it is leaving.
+    /// The engine refused the request because it is draining.
     Leaving,
-    /// The engine refused because it loads a model.
+    /// The engine refused the request because it is loading a model.
     Loading,
 }
 
@@ -91,15 +91,15 @@
     /// No engine of this model is listed.
     #[error("no engine serves the model")]
     UnknownModel,
-    /// Every engine is leaving or was excluded.
+    /// Every engine is draining, loading a model or excluded.
     #[error("every engine of the model is leaving or was tried")]
     NoneUsable,
-    /// All engines together have less memory than the prompt needs.
+    /// The engines have too little memory in total.
     #[error("prompt needs {needed_tokens} tokens of memory, the engines have {total_tokens}")]
     TooLarge {
-        /// Memory that the request needs, in tokens.
+        /// KV memory that the request needs, in tokens.
         needed_tokens: u64,
-        /// Memory of all usable engines, in tokens.
+        /// KV memory that a group of all eligible engines could use, in tokens.
         total_tokens: u64,
     },
 }
--- a/crates/placement/src/view.rs
+++ b/crates/placement/src/state.rs
@@ -1,4 +1,4 @@
-//! Everything that one daemon knows: engines, models and peers' views.
+//! State of a placement: engines, models and peers' views.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,42 +7,44 @@
 
 use mangofront_settings::ids::{Incarnation, InstanceId, ModelName};
 
-use crate::demand::EngineInfo;
 use crate::engine::Engine;
-use crate::gossip::{ModelDemand, NameKey, PeerView, PeerViews, VIEW_LIFETIME, View, name_key};
 use crate::health::Health;
 use crate::model::{Model, SharedEngine};
+use crate::peer_views::{
+    ModelDemand, NameHash, PeerView, PeerViews, PlacementView, VIEW_LIFETIME, name_hash,
+};
 use crate::peer_work::PeerWork;
+use crate::request::EngineInfo;
 
-/// Time after which a view that says something is sent again unchanged, so that
-/// it does not expire at the peers; two of three may be lost.
-const VIEW_REFRESH: Duration = Duration::from_secs(VIEW_LIFETIME.as_secs() / 3);
+/// Time after which an unchanged view is published again unless it is idle. Two
+/// of three publications may be lost without the view expiring at the peers.
+const VIEW_REFRESH_INTERVAL: Duration = Duration::from_secs(VIEW_LIFETIME.as_secs() / 3);
 
-/// The view behind a [`Placement`](crate::Placement).
+/// State shared by the clones of a [`Placement`](crate::Placement).
 ///
-/// Invariants: a listed engine stands in `engines` and in its model's order; an
-/// engine that is no longer listed stands in `engines` only while own requests
-/// run there, marked as leaving. The peers' sums in engines and models are
-/// those of the views in `peers`.
+/// Invariants: a listed engine is in `engines` and in its model's order. An
+/// engine that is no longer listed remains in `engines`, marked as leaving, only
+/// while this daemon has outstanding requests there. The peers' sums in engines
+/// and models are those of the views in `peers`.
 #[derive(Debug, Default)]
-pub(crate) struct Views {
+pub(crate) struct PlacementState {
     pub(crate) engines: BTreeMap<InstanceId, SharedEngine>,
     pub(crate) models: BTreeMap<ModelName, Model>,
     pub(crate) peers: PeerViews,
-    by_key: BTreeMap<NameKey, SharedEngine>,
-    /// The last view given out, and when its sequence was new.
-    sent: Option<(View, Instant)>,
+    by_name_hash: BTreeMap<NameHash, SharedEngine>,
+    /// Last published view and the time at which its sequence number was assigned.
+    last_sent: Option<(PlacementView, Instant)>,
 }
 
-impl Views {
-    /// Takes over the list of engines.
+impl PlacementState {
+    /// Replaces the list of engines.
     pub(crate) fn set_engines(&mut self, listed: Vec<EngineInfo>, now: Instant) {
         for engine in self.engines.values() {
             engine.borrow_mut().info.leaving = true;
         }
         let mut orders: BTreeMap<ModelName, Vec<SharedEngine>> = BTreeMap::new();
         for info in listed {
-            let engine = self.listed_engine(&info, now);
+            let engine = self.get_or_insert_engine(&info, now);
             orders.entry(info.model).or_default().push(engine);
         }
         self.models.retain(|name, _| orders.contains_key(name));
@@ -51,11 +53,11 @@
             let model = model.or_insert_with_key(Model::new);
             model.set_order(order);
         }
-        self.forget_unlisted();
-        self.recount_peers();
+        self.remove_unlisted();
+        self.recompute_peer_sums();
     }
 
-    /// Takes in a peer's view.
+    /// Applies a peer's encoded view.
     pub(crate) fn apply_peer_view(
         &mut self,
         daemon: &InstanceId,
@@ -63,61 +65,69 @@
         encoded: &[u8],
         now: Instant,
     ) {
-        let peer = name_key(daemon);
-        if let Some((former, view)) = self.peers.accept(daemon, incarnation, encoded, now) {
-            if let Some(former) = former {
-                count_view(
-                    Change::Remove,
-                    &self.by_key,
+        let peer = name_hash(daemon);
+        if let Some((previous, view)) = self.peers.accept(daemon, incarnation, encoded, now) {
+            if let Some(previous) = previous {
+                apply_view_change(
+                    ViewChange::Remove,
+                    &self.by_name_hash,
                     &mut self.models,
                     peer,
-                    &former,
+                    &previous,
                 );
             }
-            count_view(Change::Add, &self.by_key, &mut self.models, peer, view);
+            apply_view_change(
+                ViewChange::Add,
+                &self.by_name_hash,
+                &mut self.models,
+                peer,
+                view,
+            );
         }
         self.expire_peers(now);
     }
 
-    /// Drops the views of peers that have been silent for too long.
+    /// Drops expired views of peers.
     pub(crate) fn expire_peers(&mut self, now: Instant) {
         for (daemon, view) in self.peers.expire(now) {
-            log::info!("placement: view of {daemon} has expired");
-            count_view(
-                Change::Remove,
-                &self.by_key,
+            log::info!("placement: view from {daemon} expired");
+            apply_view_change(
+                ViewChange::Remove,
+                &self.by_name_hash,
                 &mut self.models,
-                name_key(&daemon),
+                name_hash(&daemon),
                 &view,
             );
         }
     }
 
-    /// This daemon's own outstanding work and demand.
+    /// This daemon's outstanding work and demand.
     ///
-    /// The same view, its sequence included, until something in it changes or
-    /// it must be refreshed; so a daemon without work has nothing to send.
-    pub(crate) fn own_view(&mut self, now: Instant) -> View {
+    /// Returns the same view with the same sequence number until its content
+    /// changes or it must be refreshed, so an idle daemon has nothing to
+    /// publish.
+    pub(crate) fn own_view(&mut self, now: Instant) -> PlacementView {
         let mut view = self.compose_own_view(now);
-        if let Some((sent, since)) = &self.sent {
+        if let Some((sent, since)) = &self.last_sent {
             view.sequence = sent.sequence;
-            let stands = view.is_idle() || now.saturating_duration_since(*since) < VIEW_REFRESH;
-            if view == *sent && stands {
+            let is_current =
+                view.is_idle() || now.saturating_duration_since(*since) < VIEW_REFRESH_INTERVAL;
+            if view == *sent && is_current {
                 return view;
             }
         }
         view.sequence += 1;
-        self.sent = Some((view.clone(), now));
+        self.last_sent = Some((view.clone(), now));
         view
     }
 
-    fn compose_own_view(&self, now: Instant) -> View {
+    fn compose_own_view(&self, now: Instant) -> PlacementView {
         let engines = self.engines.values();
         let models = self.models.values().map(|model| ModelDemand {
-            model: model.key,
+            model: model.name_hash,
             tokens: model.demand.own_tokens(now),
         });
-        View {
+        PlacementView {
             sequence: 0,
             models: models.collect(),
             engines: engines
@@ -127,7 +137,7 @@
         }
     }
 
-    fn listed_engine(&mut self, info: &EngineInfo, now: Instant) -> SharedEngine {
+    fn get_or_insert_engine(&mut self, info: &EngineInfo, now: Instant) -> SharedEngine {
         if let Some(engine) = self.engines.get(&info.instance) {
             let is_same = {
                 let known = &engine.borrow().info;
@@ -138,11 +148,12 @@
                 return Rc::clone(engine);
             }
         }
-        // Newcomers to a model in service start slowly; a whole list doesn't.
+        // Slow start applies only to engines that join a model with other
+        // engines, not to the first list of a model.
         let health = if self.models.contains_key(&info.model) {
-            Health::newcomer(now)
+            Health::joining(now)
         } else {
-            Health::settled()
+            Health::established()
         };
         let engine = Rc::new(RefCell::new(Engine::new(info.clone(), health)));
         self.engines
@@ -150,7 +161,7 @@
         engine
     }
 
-    fn forget_unlisted(&mut self) {
+    fn remove_unlisted(&mut self) {
         let models = &self.models;
         self.engines.retain(|_, engine| {
             let is_listed = models
@@ -159,12 +170,12 @@
             is_listed || engine.borrow().own.outstanding() > 0
         });
         let engines = self.engines.values();
-        self.by_key = engines
-            .map(|engine| (engine.borrow().key, Rc::clone(engine)))
+        self.by_name_hash = engines
+            .map(|engine| (engine.borrow().name_hash, Rc::clone(engine)))
             .collect();
     }
 
-    fn recount_peers(&mut self) {
+    fn recompute_peer_sums(&mut self) {
         for engine in self.engines.values() {
             engine.borrow_mut().peers = PeerWork::default();
         }
@@ -172,29 +183,29 @@
             model.demand.clear_peers();
         }
         for (daemon, view) in self.peers.iter() {
-            count_view(
-                Change::Add,
-                &self.by_key,
+            apply_view_change(
+                ViewChange::Add,
+                &self.by_name_hash,
                 &mut self.models,
-                name_key(daemon),
+                name_hash(daemon),
                 view,
             );
         }
     }
 }
 
-/// Whether a peer's view comes into the counts or leaves them.
+/// Whether a peer's view is added to the sums or removed from them.
 #[derive(Debug, Clone, Copy)]
-enum Change {
+enum ViewChange {
     Add,
     Remove,
 }
 
-fn count_view(
-    change: Change,
-    engines: &BTreeMap<NameKey, SharedEngine>,
+fn apply_view_change(
+    change: ViewChange,
+    engines: &BTreeMap<NameHash, SharedEngine>,
     models: &mut BTreeMap<ModelName, Model>,
-    peer: NameKey,
+    peer: NameHash,
     peer_view: &PeerView,
 ) {
     let PeerView {
@@ -206,16 +217,16 @@
         };
         let peers = &mut engine.borrow_mut().peers;
         match change {
-            Change::Add => peers.add(peer, work, *received_at),
-            Change::Remove => peers.remove(peer, work, *received_at),
+            ViewChange::Add => peers.add(peer, work, *received_at),
+            ViewChange::Remove => peers.remove(peer, work, *received_at),
         }
     }
     for demand in &view.models {
         let models = models.values_mut();
-        for model in models.filter(|model| model.key == demand.model) {
+        for model in models.filter(|model| model.name_hash == demand.model) {
             match change {
-                Change::Add => model.demand.add_peer(&demand.tokens),
-                Change::Remove => model.demand.remove_peer(&demand.tokens),
+                ViewChange::Add => model.demand.add_peer(&demand.tokens),
+                ViewChange::Remove => model.demand.remove_peer(&demand.tokens),
             }
         }
     }
--- a/crates/placement/tests/faults.rs
+++ b/crates/placement/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Engines that leave, fail, slow down or miss cache events; groups of engines.
+//! Draining, failing and slow engines, missed cache events, and engine groups.
 
 mod support;
 
@@ -10,7 +10,7 @@
 };
 use support::{Fleet, engines, fleet, report};
 
-fn fail(fleet: &Fleet, index: usize) {
+fn record_errors(fleet: &Fleet, index: usize) {
     for _ in 0..5 {
         fleet
             .placement
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn leaving_engines_get_nothing() {
+fn draining_engines_receive_no_requests() {
     let fleet = fleet(3);
     let mut listed = engines(3);
     listed[0].leaving = true;
@@ -43,41 +43,41 @@
     fleet
         .placement
         .apply_load_report(&"engine-1".to_owned(), leaving);
-    let held: Vec<_> = (0..50)
-        .map(|_| fleet.placement.place(&fleet.demand(8_000), &[]).unwrap())
+    let active: Vec<_> = (0..50)
+        .map(|_| fleet.placement.place(&fleet.request(8_000), &[]).unwrap())
         .collect();
-    assert!(held.iter().all(|placed| placed.instance == "engine-2"));
+    assert!(active.iter().all(|placed| placed.instance == "engine-2"));
     fleet
         .placement
         .record_outcome(&"engine-2".to_owned(), EngineOutcome::Leaving);
-    let refused = fleet.placement.place(&fleet.demand(1_000), &[]);
-    assert_eq!(refused.unwrap_err(), NoEngine::NoneUsable);
+    let result = fleet.placement.place(&fleet.request(1_000), &[]);
+    assert_eq!(result.unwrap_err(), NoEngine::NoneUsable);
 }
 
 #[test]
-fn a_loading_engine_is_left_out_for_a_while() {
+fn a_loading_engine_is_avoided_during_its_cooldown() {
     let fleet = fleet(2);
     let loading = "engine-1".to_owned();
     fleet
         .placement
         .record_outcome(&loading, EngineOutcome::Loading);
-    // Its load report says nothing of it.
+    // Load reports don't show that the engine is loading.
     fleet.placement.apply_load_report(&loading, report(2));
-    let held: Vec<_> = (0..20)
-        .map(|_| fleet.placement.place(&fleet.demand(8_000), &[]).unwrap())
+    let active: Vec<_> = (0..20)
+        .map(|_| fleet.placement.place(&fleet.request(8_000), &[]).unwrap())
         .collect();
-    assert!(held.iter().all(|placed| placed.instance == "engine-0"));
+    assert!(active.iter().all(|placed| placed.instance == "engine-0"));
     fleet.clock.advance(Duration::from_secs(3));
-    let probe = fleet.placement.place(&fleet.demand(8_000), &[]).unwrap();
+    let probe = fleet.placement.place(&fleet.request(8_000), &[]).unwrap();
     assert_eq!(probe.instance, loading);
 }
 
 #[test]
-fn ejection_never_empties_the_set() {
+fn at_most_half_of_the_engines_are_ejected() {
     for count in 1..=9 {
         let fleet = fleet(count);
         for index in 0..count {
-            fail(&fleet, index);
+            record_errors(&fleet, index);
         }
         let status = fleet.placement.status();
         let ejected = status
@@ -86,38 +86,38 @@
             .filter(|engine| engine.ejected)
             .count();
         assert_eq!(ejected, count / 2);
-        assert!(fleet.placement.place(&fleet.demand(1_000), &[]).is_ok());
+        assert!(fleet.placement.place(&fleet.request(1_000), &[]).is_ok());
     }
 }
 
 #[test]
-fn an_ejected_engine_is_probed_and_comes_back_slowly() {
+fn an_ejected_engine_is_probed_and_then_in_slow_start() {
     let fleet = fleet(3);
-    fail(&fleet, 0);
+    record_errors(&fleet, 0);
     let others = ["engine-1".to_owned(), "engine-2".to_owned()];
-    let to_ejected = fleet
+    let chosen = fleet
         .placement
-        .explain(&fleet.demand(1_000))
+        .explain(&fleet.request(1_000))
         .chosen
         .unwrap();
-    assert_ne!(to_ejected, "engine-0");
+    assert_ne!(chosen, "engine-0");
     fleet.clock.advance(Duration::from_secs(6));
     let probe = fleet
         .placement
-        .place(&fleet.demand(1_000), &others)
+        .place(&fleet.request(1_000), &others)
         .unwrap();
     assert_eq!(probe.instance, "engine-0");
-    let held: Vec<_> = (0..30)
-        .map(|_| fleet.placement.place(&fleet.demand(1_000), &[]).unwrap())
+    let active: Vec<_> = (0..30)
+        .map(|_| fleet.placement.place(&fleet.request(1_000), &[]).unwrap())
         .collect();
-    assert!(held.iter().all(|placed| placed.instance != "engine-0"));
+    assert!(active.iter().all(|placed| placed.instance != "engine-0"));
     fleet
         .placement
         .record_outcome(&"engine-0".to_owned(), EngineOutcome::Success);
     drop(probe);
     fleet.clock.advance(Duration::from_secs(10));
     let more: Vec<_> = (0..30)
-        .map(|_| fleet.placement.place(&fleet.demand(1_000), &[]).unwrap())
+        .map(|_| fleet.placement.place(&fleet.request(1_000), &[]).unwrap())
         .collect();
     assert!(more.iter().any(|placed| placed.instance == "engine-0"));
 }
@@ -125,7 +125,8 @@
 #[test]
 fn a_slow_engine_is_ejected() {
     let fleet = fleet(5);
-    // The fifth sample decides, before the ejection's five seconds are over.
+    // The fifth sample triggers the ejection. The status is read before its five
+    // seconds are over.
     for _ in 0..5 {
         for index in 0..5 {
             let others: Vec<_> = (0..5)
@@ -134,10 +135,10 @@
                 .collect();
             let mut placed = fleet
                 .placement
-                .place(&fleet.patient(8_000), &others)
+                .place(&fleet.patient_request(8_000), &others)
                 .unwrap();
-            let taken_ms = if index == 3 { 8_000 } else { 800 };
-            fleet.clock.advance(Duration::from_millis(taken_ms));
+            let first_token_ms = if index == 3 { 8_000 } else { 800 };
+            fleet.clock.advance(Duration::from_millis(first_token_ms));
             placed.record_first_token();
         }
     }
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn unreachable_engines_are_avoided_unless_all_are() {
+fn unreachable_engines_are_avoided_unless_all_are_unreachable() {
     let fleet = fleet(2);
     for _ in 0..3 {
         fleet
@@ -162,7 +163,7 @@
     let chosen = || {
         fleet
             .placement
-            .explain(&fleet.demand(1_000))
+            .explain(&fleet.request(1_000))
             .chosen
             .unwrap()
     };
@@ -181,11 +182,11 @@
             .placement
             .record_report_failure(&"engine-0".to_owned());
     }
-    assert!(fleet.placement.place(&fleet.demand(1_000), &[]).is_ok());
+    assert!(fleet.placement.place(&fleet.request(1_000), &[]).is_ok());
 }
 
 #[test]
-fn cached_prefixes_attract_and_gaps_ask_for_a_snapshot() {
+fn cached_prefixes_attract_requests_and_event_gaps_need_a_snapshot() {
     let fleet = fleet(6);
     let engine = "engine-4".to_owned();
     let blocks: Vec<u64> = (1..=100).collect();
@@ -205,11 +206,11 @@
     fleet.placement.apply_cache_snapshot(&engine, snapshot);
     let in_sync = CacheSync::InSync { next_sequence: 7 };
     assert_eq!(stored(7, 6, &blocks[60..80]), in_sync);
-    assert_eq!(stored(7, 6, &blocks[60..80]), in_sync, "repeated");
+    assert_eq!(stored(7, 6, &blocks[60..80]), in_sync, "repeated event");
 
-    let mut demand = fleet.demand(100 * 256);
-    demand.blocks = blocks.clone();
-    let explanation = fleet.placement.explain(&demand);
+    let mut request = fleet.request(100 * 256);
+    request.blocks = blocks.clone();
+    let explanation = fleet.placement.explain(&request);
     assert_eq!(explanation.chosen.as_deref(), Some("engine-4"));
     let considered = explanation.considered.into_iter();
     let cached: Vec<_> = considered.map(|engine| engine.cached_tokens).collect();
@@ -218,25 +219,27 @@
     assert_eq!(
         stored(10, 9, &blocks[80..]),
         CacheSync::NeedsSnapshot,
-        "gap"
+        "gap in the sequence"
     );
     assert!(!fleet.status(&engine).cache_in_sync);
-    // The old view stays in use, and a later life empties it.
+    // The old view stays in use until a later incarnation empties it.
     assert_eq!(fleet.status(&engine).cached_blocks, 100);
-    let later_life = CacheEvents {
+    let later_incarnation = CacheEvents {
         incarnation: 2,
         ..events(1, 0, CacheEventKind::Evicted, &[])
     };
-    let sync = fleet.placement.apply_cache_events(&engine, later_life);
+    let sync = fleet
+        .placement
+        .apply_cache_events(&engine, later_incarnation);
     assert_eq!(sync, CacheSync::NeedsSnapshot);
     assert_eq!(fleet.status(&engine).cached_blocks, 0);
 }
 
 #[test]
-fn a_group_covers_the_need_exactly() {
+fn group_shares_sum_to_the_needed_tokens() {
     let fleet = fleet(8);
-    let demand = fleet.patient(1_000_000);
-    let first = fleet.placement.place(&demand, &[]).unwrap();
+    let request = fleet.patient_request(1_000_000);
+    let first = fleet.placement.place(&request, &[]).unwrap();
     let group = first.group.clone().unwrap();
     assert_eq!(
         group.iter().map(|member| member.tokens).sum::<u64>(),
@@ -245,20 +248,23 @@
     assert!(group.iter().all(|member| member.tokens <= 400_000));
     assert_eq!(group.len(), 3);
     assert_eq!(group[0].instance, first.instance);
-    // From the long end of the order, and the second one beside the first.
+    // Members come from the long end of the order; the second group has no engine
+    // of the first.
     let long_end: Vec<_> = fleet.order().into_iter().rev().take(3).collect();
     let members = |group: &[mangofront_placement::GroupMember]| -> Vec<String> {
         group.iter().map(|member| member.instance.clone()).collect()
     };
     assert_eq!(members(&group), long_end);
-    let second = fleet.placement.place(&demand, &[]).unwrap();
+    let second = fleet.placement.place(&request, &[]).unwrap();
     let second_members = members(&second.group.clone().unwrap());
     assert!(
         second_members
             .iter()
             .all(|member| !long_end.contains(member))
     );
-    let too_large = fleet.placement.place(&fleet.patient(4_000_000), &[]);
+    let too_large = fleet
+        .placement
+        .place(&fleet.patient_request(4_000_000), &[]);
     assert!(matches!(too_large, Err(NoEngine::TooLarge { .. })));
     drop((first, second));
     let outstanding = fleet.placement.status().engines.into_iter();
@@ -266,7 +272,7 @@
 }
 
 #[test]
-fn the_reason_for_each_engine_is_told() {
+fn explanation_gives_a_reason_for_each_engine() {
     let fleet = fleet(4);
     fleet
         .placement
@@ -277,5 +283,5 @@
     fleet
         .placement
         .record_outcome(&"engine-3".to_owned(), EngineOutcome::Busy);
-    insta::assert_json_snapshot!(fleet.placement.explain(&fleet.demand(10_000)));
+    insta::assert_json_snapshot!(fleet.placement.explain(&fleet.request(10_000)));
 }
--- a/crates/placement/tests/lengths.rs
+++ b/crates/placement/tests/lengths.rs
@@ -1,4 +1,4 @@
-//! Short and long prompts keep apart, and the border moves with the demand.
+//! Separation of short and long prompts, and intervals that follow the demand.
 
 mod support;
 
@@ -8,14 +8,15 @@
 use mangofront_placement::{Clock, Policy};
 use support::{Fleet, daemon, fleet};
 
-/// Mean position (0 short end, 1 long end) over `count` prompts, held for good.
+/// Mean position of `count` prompts in the order, from 0 (short end) to 1 (long
+/// end). Each prompt is dropped at once.
 fn mean_position(fleet: &Fleet, length_tokens: u64, count: usize) -> f64 {
     let order = fleet.order();
     let mut sum = 0;
     for _ in 0..count {
         let placed = fleet
             .placement
-            .place(&fleet.patient(length_tokens), &[])
+            .place(&fleet.patient_request(length_tokens), &[])
             .expect("place");
         sum += order
             .iter()
@@ -26,26 +27,27 @@
 }
 
 #[test]
-fn short_and_long_prompts_use_opposite_ends() {
+fn short_and_long_prompts_use_opposite_ends_of_the_order() {
     let fleet = fleet(25);
     let order = fleet.order();
     let position = |instance: &String| order.iter().position(|other| other == instance).unwrap();
     let (mut short, mut long) = (Vec::new(), Vec::new());
-    let mut held = Vec::new();
+    let mut active = Vec::new();
     for round in 0..200 {
         let is_long = round % 20 == 0;
         let length_tokens = if is_long { 200_000 } else { 1_000 };
-        let demand = fleet.patient(length_tokens);
-        let mut placed = fleet.placement.place(&demand, &[]).unwrap();
-        // A short prompt is through when the next one comes, a long one is not.
+        let request = fleet.patient_request(length_tokens);
+        let mut placed = fleet.placement.place(&request, &[]).unwrap();
+        // A short prompt completes its prefill before the next one arrives; a long
+        // one doesn't.
         fleet.clock.advance(Duration::from_millis(100));
         if is_long {
             long.push(position(&placed.instance));
-            held.push(placed);
+            active.push(placed);
         } else {
             assert!(
                 !long.contains(&position(&placed.instance)),
-                "met a long one"
+                "placed on an engine with a long prompt"
             );
             short.push(position(&placed.instance));
             placed.record_first_token();
@@ -57,22 +59,22 @@
 }
 
 #[test]
-fn border_moves_with_demand() {
+fn intervals_follow_demand() {
     let fleet = fleet(25);
-    // Middle-length prompts give way to whichever end has more to do.
+    // Prompts of medium length move away from the end with more demand.
     let _ = mean_position(&fleet, 200_000, 40);
-    let pressed_down = mean_position(&fleet, 4_000, 1);
+    let after_long_demand = mean_position(&fleet, 4_000, 1);
     fleet.clock.advance(Duration::from_secs(600));
     let _ = mean_position(&fleet, 1_000, 8_000);
-    let pressed_up = mean_position(&fleet, 4_000, 1);
+    let after_short_demand = mean_position(&fleet, 4_000, 1);
     assert!(
-        pressed_up > pressed_down + 0.3,
-        "{pressed_down} to {pressed_up}"
+        after_short_demand > after_long_demand + 0.3,
+        "{after_long_demand} to {after_short_demand}"
     );
 }
 
 #[test]
-fn peers_demand_moves_the_border_too() {
+fn intervals_follow_the_demand_of_peers() {
     let clock = Clock::manual(Instant::now());
     let one = daemon("entry-1", 25, clock.clone(), Policy::LengthAware);
     let other = daemon("entry-2", 25, clock, Policy::LengthAware);
@@ -86,30 +88,32 @@
 }
 
 #[test]
-fn a_full_end_spills_over() {
+fn short_prompts_use_all_engines_under_load() {
     let fleet = fleet(5);
     let mut used = BTreeSet::new();
-    let mut held = Vec::new();
+    let mut active = Vec::new();
     for _ in 0..200 {
-        let placed = fleet.placement.place(&fleet.demand(1_000), &[]).unwrap();
+        let placed = fleet.placement.place(&fleet.request(1_000), &[]).unwrap();
         used.insert(placed.instance.clone());
-        held.push(placed);
+        active.push(placed);
     }
     assert_eq!(used.len(), 5, "{used:?}");
 }
 
 #[test]
-fn own_zone_comes_first_at_equal_cost() {
+fn engines_of_the_own_zone_are_preferred_at_equal_cost() {
     let fleet = fleet(25);
     let mut compared = 0;
     for length_tokens in [1_000, 2_000, 4_000, 8_000, 16_000, 32_000] {
-        let explanation = fleet.placement.explain(&fleet.patient(length_tokens));
+        let explanation = fleet
+            .placement
+            .explain(&fleet.patient_request(length_tokens));
         let chosen = explanation.chosen.unwrap();
-        let is_at_hand = explanation
+        let has_local_candidate = explanation
             .considered
             .iter()
             .any(|engine| engine.availability_zone == "hall-a" && engine.border_distance == 0.0);
-        if is_at_hand {
+        if has_local_candidate {
             compared += 1;
             assert_eq!(fleet.status(&chosen).availability_zone, "hall-a");
         }
@@ -119,7 +123,7 @@
         .step_by(3)
         .map(|index| format!("engine-{index}"))
         .collect();
-    let elsewhere = fleet.placement.place(&fleet.demand(1_000), &own).unwrap();
+    let elsewhere = fleet.placement.place(&fleet.request(1_000), &own).unwrap();
     assert_ne!(
         fleet.status(&elsewhere.instance).availability_zone,
         "hall-a"
@@ -127,38 +131,42 @@
 }
 
 #[test]
-fn priorities_put_short_before_long_and_age() {
+fn priority_depends_on_length_and_remaining_time() {
     let fleet = fleet(4);
-    let priority = |length_tokens: u64, left: Duration| {
-        let mut demand = fleet.patient(length_tokens);
-        demand.deadline = fleet.clock.now() + left;
-        fleet.placement.place(&demand, &[]).unwrap().priority
+    let priority = |length_tokens: u64, remaining: Duration| {
+        let mut request = fleet.patient_request(length_tokens);
+        request.deadline = fleet.clock.now() + remaining;
+        fleet.placement.place(&request, &[]).unwrap().priority
     };
-    let patient = Duration::from_secs(600);
-    let short = priority(1_000, patient);
-    let long = priority(200_000, patient);
-    let aged = priority(200_000, Duration::from_secs(22));
+    let ample_time = Duration::from_secs(600);
+    let short = priority(1_000, ample_time);
+    let long = priority(200_000, ample_time);
+    let urgent = priority(200_000, Duration::from_secs(22));
     assert!(short < long, "{short} and {long}");
-    assert!(aged < long, "{aged} and {long}");
-    // Even then it never goes before a prompt of less than a 64th.
-    assert!(short < aged, "{short} and {aged}");
+    assert!(urgent < long, "{urgent} and {long}");
+    // Even without slack it ranks behind a prompt of less than a 64th of its
+    // length.
+    assert!(short < urgent, "{short} and {urgent}");
 }
 
 #[test]
 fn overtaking_is_bounded() {
     let fleet = fleet(2);
-    let mut demand = fleet.patient(100_000);
-    // Ten seconds of prefill and two of answer leave about eight to spare.
-    demand.deadline = fleet.clock.now() + Duration::from_secs(20);
-    let long = fleet.placement.place(&demand, &[]).unwrap();
+    let mut request = fleet.patient_request(100_000);
+    // Ten seconds of prefill and two of decode leave about eight seconds of slack.
+    request.deadline = fleet.clock.now() + Duration::from_secs(20);
+    let long = fleet.placement.place(&request, &[]).unwrap();
     let mut overtaken_tokens = 0;
-    let mut held = Vec::new();
+    let mut active = Vec::new();
     for _ in 0..40 {
-        let placed = fleet.placement.place(&fleet.patient(5_000), &[]).unwrap();
+        let placed = fleet
+            .placement
+            .place(&fleet.patient_request(5_000), &[])
+            .unwrap();
         if placed.instance == long.instance {
             overtaken_tokens += 5_000;
         }
-        held.push(placed);
+        active.push(placed);
     }
     assert!(overtaken_tokens <= 90_000, "{overtaken_tokens}");
 }
--- a/crates/placement/tests/load.rs
+++ b/crates/placement/tests/load.rs
@@ -1,4 +1,4 @@
-//! Lagging reports, own placements and peers' views.
+//! Load estimates from lagging reports, own placements and peers' views.
 
 mod support;
 
@@ -9,13 +9,13 @@
 use support::{Fleet, daemon, fleet, report};
 
 fn place(fleet: &Fleet, count: usize) -> Vec<PlacedRequest> {
-    let demand = fleet.demand(8_000);
+    let request = fleet.request(8_000);
     (0..count)
-        .map(|_| fleet.placement.place(&demand, &[]).expect("place"))
+        .map(|_| fleet.placement.place(&request, &[]).expect("place"))
         .collect()
 }
 
-fn most_on_one(placed: &[PlacedRequest]) -> usize {
+fn max_on_one_engine(placed: &[PlacedRequest]) -> usize {
     let mut counts = BTreeMap::new();
     for placed in placed {
         *counts.entry(placed.instance.clone()).or_insert(0) += 1;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn lagging_reports_do_not_herd() {
+fn lagging_reports_cause_no_herding() {
     let fleet = fleet(8);
     for index in 1..8 {
         let mut busy = report(2);
@@ -33,15 +33,19 @@
             .placement
             .apply_load_report(&format!("engine-{index}"), busy);
     }
-    // The report of engine-0 says "idle" all the while.
-    let held = place(&fleet, 24);
-    assert!(most_on_one(&held) <= 8, "{}", most_on_one(&held));
+    // The report of engine-0 stays idle throughout.
+    let active = place(&fleet, 24);
+    assert!(
+        max_on_one_engine(&active) <= 8,
+        "{}",
+        max_on_one_engine(&active)
+    );
 }
 
 #[test]
-fn a_report_replaces_the_placements_that_it_includes() {
+fn a_report_replaces_the_placements_before_its_measurement() {
     let fleet = fleet(1);
-    let held = place(&fleet, 3);
+    let active = place(&fleet, 3);
     assert_eq!(fleet.status("engine-0").since_report_tokens, 24_000);
     fleet.clock.advance(Duration::from_secs(3));
     let mut lagging = report(2);
@@ -51,57 +55,57 @@
         .placement
         .apply_load_report(&"engine-0".to_owned(), lagging);
     assert_eq!(fleet.status("engine-0").since_report_tokens, 0);
-    // 4,000 tokens a second ago are nothing now, so only the new prompt counts.
+    // The 4,000 tokens measured a second ago have been computed by now.
     let queue = fleet
         .placement
-        .estimate(&fleet.demand(1_000))
+        .estimate(&fleet.request(1_000))
         .unwrap()
         .queue;
     assert_eq!(queue, Duration::ZERO);
-    drop(held);
+    drop(active);
 }
 
 #[test]
-fn the_queue_is_what_others_left_and_what_was_placed_since() {
+fn the_queue_is_the_reported_work_and_later_placements() {
     let fleet = fleet(1);
     let mut busy = report(2);
     busy.waiting_prefill_tokens = 50_000;
     fleet
         .placement
         .apply_load_report(&"engine-0".to_owned(), busy);
-    let held = place(&fleet, 1);
+    let active = place(&fleet, 1);
     let queue = || {
         fleet
             .placement
-            .estimate(&fleet.demand(8_000))
+            .estimate(&fleet.request(8_000))
             .unwrap()
             .queue
     };
     assert_eq!(queue().as_millis(), 5_800);
-    // The engine makes headway between two reports.
+    // The engine completes work between two reports.
     fleet.clock.advance(Duration::from_secs(1));
     assert_eq!(queue().as_millis(), 4_800);
-    drop(held);
+    drop(active);
     assert_eq!(queue().as_millis(), 4_000);
 }
 
 #[test]
-fn what_a_report_and_a_peer_both_tell_counts_once() {
+fn work_in_both_a_report_and_a_peer_view_counts_once() {
     let clock = Clock::manual(Instant::now());
     let one = daemon("entry-1", 1, clock.clone(), Policy::LengthAware);
     let other = daemon("entry-2", 1, clock.clone(), Policy::LengthAware);
-    let held = place(&one, 5);
+    let active = place(&one, 5);
     let queue = || {
         other
             .placement
-            .estimate(&other.demand(8_000))
+            .estimate(&other.request(8_000))
             .unwrap()
             .queue
     };
     other
         .placement
         .apply_peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
-    assert_eq!(queue().as_millis(), 4_000, "told by the peer");
+    assert_eq!(queue().as_millis(), 4_000, "from the peer's view");
     clock.advance(Duration::from_millis(1));
     let mut busy = report(2);
     busy.waiting_prefill_tokens = 40_000;
@@ -113,35 +117,38 @@
     other
         .placement
         .apply_peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
-    assert_eq!(queue().as_millis(), 4_000, "told by both");
-    drop(held);
+    assert_eq!(queue().as_millis(), 4_000, "from the report and the view");
+    drop(active);
 }
 
 #[test]
-fn what_a_peer_told_fades_at_the_engines_rate() {
+fn peer_work_decreases_at_the_prefill_rate() {
     let clock = Clock::manual(Instant::now());
     let one = daemon("entry-1", 1, clock.clone(), Policy::LengthAware);
     let other = daemon("entry-2", 1, clock.clone(), Policy::LengthAware);
-    let held = place(&one, 5);
+    let active = place(&one, 5);
     other
         .placement
         .apply_peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
     clock.advance(Duration::from_secs(1));
     let queue = other
         .placement
-        .estimate(&other.demand(8_000))
+        .estimate(&other.request(8_000))
         .unwrap()
         .queue;
     assert_eq!(queue.as_millis(), 3_000);
-    drop(held);
+    drop(active);
 }
 
 #[test]
-fn headway_is_not_made_on_what_came_after_the_report() {
+fn completed_work_excludes_placements_after_the_report() {
     let clock = Clock::manual(Instant::now());
     let one = daemon("entry-1", 1, clock.clone(), Policy::LengthAware);
     let other = daemon("entry-2", 1, clock.clone(), Policy::LengthAware);
-    let long = other.placement.place(&other.patient(100_000), &[]).unwrap();
+    let long = other
+        .placement
+        .place(&other.patient_request(100_000), &[])
+        .unwrap();
     clock.advance(Duration::from_secs(10));
     let mut busy = report(2);
     busy.waiting_prefill_tokens = 60_000;
@@ -154,41 +161,54 @@
     other
         .placement
         .apply_peer_view(&"entry-1".to_owned(), 1, one.placement.own_view());
-    // 60,000 of the long prompt and 40,000 of the peer's are left.
-    let queue = |demand| other.placement.estimate(&demand).unwrap().queue.as_millis();
-    assert_eq!(queue(other.patient(100_000)), 10_000);
-    let short = other.placement.place(&other.demand(1_000), &[]).unwrap();
-    assert_eq!(queue(other.demand(1_000)), 100);
+    // 60,000 tokens of the long prompt and 40,000 of the peer remain.
+    let queue = |request| {
+        other
+            .placement
+            .estimate(&request)
+            .unwrap()
+            .queue
+            .as_millis()
+    };
+    assert_eq!(queue(other.patient_request(100_000)), 10_000);
+    let short = other.placement.place(&other.request(1_000), &[]).unwrap();
+    assert_eq!(queue(other.request(1_000)), 100);
     drop((long, peers, short));
 }
 
 #[test]
 fn memory_is_waited_for_behind_less_urgent_work() {
     let fleet = fleet(1);
-    let long = fleet.placement.place(&fleet.patient(300_000), &[]).unwrap();
-    let queue = |demand| fleet.placement.estimate(&demand).unwrap().queue;
-    assert_eq!(queue(fleet.patient(50_000)), Duration::ZERO);
-    assert!(queue(fleet.patient(150_000)) >= Duration::from_secs(30));
+    let long = fleet
+        .placement
+        .place(&fleet.patient_request(300_000), &[])
+        .unwrap();
+    let queue = |request| fleet.placement.estimate(&request).unwrap().queue;
+    assert_eq!(queue(fleet.patient_request(50_000)), Duration::ZERO);
+    assert!(queue(fleet.patient_request(150_000)) >= Duration::from_secs(30));
     drop(long);
-    assert_eq!(queue(fleet.patient(150_000)), Duration::ZERO);
+    assert_eq!(queue(fleet.patient_request(150_000)), Duration::ZERO);
 }
 
 #[test]
 fn interference_by_long_work_is_learned() {
     let fleet = fleet(1);
     let first_token_ms = || {
-        let estimate = fleet.placement.estimate(&fleet.demand(1_000)).unwrap();
+        let estimate = fleet.placement.estimate(&fleet.request(1_000)).unwrap();
         estimate.time_to_first_token.as_millis()
     };
     assert_eq!(first_token_ms(), 100);
-    let long = fleet.placement.place(&fleet.patient(300_000), &[]).unwrap();
+    let long = fleet
+        .placement
+        .place(&fleet.patient_request(300_000), &[])
+        .unwrap();
     assert!(
         (150..=152).contains(&first_token_ms()),
         "{}",
         first_token_ms()
     );
     for _ in 0..20 {
-        let mut placed = fleet.placement.place(&fleet.demand(1_000), &[]).unwrap();
+        let mut placed = fleet.placement.place(&fleet.request(1_000), &[]).unwrap();
         fleet.clock.advance(Duration::from_millis(300));
         placed.record_first_token();
     }
@@ -201,7 +221,7 @@
 }
 
 #[test]
-fn peers_views_avoid_herding() {
+fn peer_views_prevent_herding() {
     let clock = Clock::manual(Instant::now());
     let daemons: Vec<_> = (0..6)
         .map(|index| {
@@ -209,9 +229,9 @@
             daemon(&name, 6, clock.clone(), Policy::LengthAware)
         })
         .collect();
-    let mut held = Vec::new();
+    let mut active = Vec::new();
     for (index, one) in daemons.iter().enumerate() {
-        held.extend(place(one, 2));
+        active.extend(place(one, 2));
         for other in &daemons {
             let name = format!("entry-{index}");
             other
@@ -219,67 +239,81 @@
                 .apply_peer_view(&name, 1, one.placement.own_view());
         }
     }
-    assert!(most_on_one(&held) <= 3, "{}", most_on_one(&held));
+    assert!(
+        max_on_one_engine(&active) <= 3,
+        "{}",
+        max_on_one_engine(&active)
+    );
 }
 
 #[test]
-fn a_peer_that_falls_silent_or_comes_back_is_forgotten() {
+fn peer_views_expire_and_are_replaced_by_newer_ones() {
     let clock = Clock::manual(Instant::now());
     let one = daemon("entry-1", 1, clock.clone(), Policy::LengthAware);
     let other = daemon("entry-2", 1, clock.clone(), Policy::LengthAware);
     let peer = "entry-1".to_owned();
-    let held = place(&one, 2);
+    let active = place(&one, 2);
     let first = one.placement.own_view();
     other.placement.apply_peer_view(&peer, 7, first.clone());
     assert_eq!(other.status("engine-0").peers_waiting_tokens, 16_000);
-    drop(held);
+    drop(active);
     other
         .placement
         .apply_peer_view(&peer, 7, one.placement.own_view());
     other.placement.apply_peer_view(&peer, 7, first.clone());
-    assert_eq!(other.status("engine-0").peers_waiting_tokens, 0, "old view");
+    assert_eq!(
+        other.status("engine-0").peers_waiting_tokens,
+        0,
+        "older view"
+    );
     other.placement.apply_peer_view(&peer, 8, first);
-    assert_eq!(other.status("engine-0").peers_outstanding, 2, "later life");
+    assert_eq!(
+        other.status("engine-0").peers_outstanding,
+        2,
+        "later incarnation"
+    );
     clock.advance(Duration::from_secs(11));
-    let _ = other.placement.estimate(&other.demand(1_000));
-    assert_eq!(other.status("engine-0").peers_outstanding, 0, "silent");
+    let _ = other.placement.estimate(&other.request(1_000));
+    assert_eq!(other.status("engine-0").peers_outstanding, 0, "expired");
 }
 
 #[test]
-fn views_are_bounded_and_nonsense_is_refused() {
+fn views_are_limited_in_size_and_malformed_ones_are_refused() {
     let fleet = fleet(500);
-    let held: Vec<_> = (0..500)
-        .map(|_| fleet.placement.place(&fleet.demand(30_000), &[]).unwrap())
+    let active: Vec<_> = (0..500)
+        .map(|_| fleet.placement.place(&fleet.request(30_000), &[]).unwrap())
         .collect();
     assert!(fleet.placement.own_view().len() <= 2_048);
-    let nonsense = vec![0xFF; 600].into();
+    let malformed = vec![0xFF; 600].into();
     fleet
         .placement
-        .apply_peer_view(&"entry-9".to_owned(), 1, nonsense);
+        .apply_peer_view(&"entry-9".to_owned(), 1, malformed);
     assert_eq!(fleet.placement.status().peers, 0);
-    drop(held);
+    drop(active);
 }
 
 #[test]
-fn nonsense_reports_change_little() {
+fn implausible_reports_have_little_effect() {
     let fleet = fleet(4);
     for (sequence, value) in [(2, f64::NAN), (3, -1.0), (4, f64::INFINITY), (5, 1e-300)] {
-        let mut nonsense = report(sequence);
-        nonsense.prefill_tokens_per_s = value;
-        nonsense.decode_step_ms = value;
-        nonsense.waiting_prefill_tokens = u64::MAX;
-        nonsense.kv_used_tokens = u64::MAX;
-        nonsense.kv_total_tokens = u64::MAX;
-        nonsense.age_ms = u64::MAX;
-        nonsense.waiting = u32::MAX;
+        let mut implausible = report(sequence);
+        implausible.prefill_tokens_per_s = value;
+        implausible.decode_step_ms = value;
+        implausible.waiting_prefill_tokens = u64::MAX;
+        implausible.kv_used_tokens = u64::MAX;
+        implausible.kv_total_tokens = u64::MAX;
+        implausible.age_ms = u64::MAX;
+        implausible.waiting = u32::MAX;
         fleet
             .placement
-            .apply_load_report(&"engine-0".to_owned(), nonsense);
-        let estimate = fleet.placement.estimate(&fleet.demand(1_000)).unwrap();
+            .apply_load_report(&"engine-0".to_owned(), implausible);
+        let estimate = fleet.placement.estimate(&fleet.request(1_000)).unwrap();
         assert!(estimate.time_to_first_token < Duration::from_secs(1));
     }
-    // Its claim of endless memory does not make it take what needs a group.
-    let placed = fleet.placement.place(&fleet.patient(1_000_000), &[]);
+    // Its reported unlimited memory is not trusted for a prompt that needs a group.
+    let placed = fleet
+        .placement
+        .place(&fleet.patient_request(1_000_000), &[]);
     let placed = placed.unwrap();
     assert!(placed.group.is_some() || placed.instance == "engine-0");
 }
@@ -291,16 +325,22 @@
         for length_tokens in [1_000, 60_000] {
             let mut placed = fleet
                 .placement
-                .place(&fleet.patient(length_tokens), &[])
+                .place(&fleet.patient_request(length_tokens), &[])
                 .unwrap();
-            // 50 ms and 4,000 tokens a second.
-            let taken = Duration::from_millis(50 + length_tokens / 4);
-            fleet.clock.advance(taken);
+            // A fixed part of 50 ms and 4,000 tokens per second.
+            let first_token_time = Duration::from_millis(50 + length_tokens / 4);
+            fleet.clock.advance(first_token_time);
             placed.record_first_token();
         }
     }
-    let short = fleet.placement.estimate(&fleet.patient(1_000)).unwrap();
-    let long = fleet.placement.estimate(&fleet.patient(60_000)).unwrap();
+    let short = fleet
+        .placement
+        .estimate(&fleet.patient_request(1_000))
+        .unwrap();
+    let long = fleet
+        .placement
+        .estimate(&fleet.patient_request(60_000))
+        .unwrap();
     let short_ms = short.time_to_first_token.as_millis();
     let long_ms = long.time_to_first_token.as_millis();
     assert!((250..=350).contains(&short_ms), "{short_ms}");
@@ -308,7 +348,7 @@
 }
 
 #[test]
-fn a_view_is_new_only_when_it_says_something_new_or_would_expire() {
+fn a_view_changes_only_with_its_content_or_to_be_refreshed() {
     let clock = Clock::manual(Instant::now());
     let one = daemon("entry-1", 1, clock.clone(), Policy::LengthAware);
     let other = daemon("entry-2", 1, clock.clone(), Policy::LengthAware);
@@ -316,10 +356,11 @@
     let idle = one.placement.own_view();
     clock.advance(Duration::from_secs(60));
     assert_eq!(one.placement.own_view(), idle, "idle");
-    let held = place(&one, 2);
+    let active = place(&one, 2);
     let mut views = vec![one.placement.own_view()];
     assert_ne!(views[0], idle, "busy");
-    // Demand fades all the while, so that only a still clock shows it.
+    // Recorded demand decays with time, so the view is unchanged only at the same
+    // instant.
     assert_eq!(one.placement.own_view(), views[0], "still busy");
     for _ in 0..30 {
         clock.advance(Duration::from_secs(1));
@@ -328,8 +369,8 @@
             views.push(view.clone());
         }
         other.placement.apply_peer_view(&peer, 1, view);
-        assert_eq!(other.status("engine-0").peers_outstanding, 2, "kept");
+        assert_eq!(other.status("engine-0").peers_outstanding, 2, "not expired");
     }
     assert!(views.len() >= 10, "refreshed {} times", views.len());
-    drop(held);
+    drop(active);
 }
--- a/crates/placement/tests/sequences.rs
+++ b/crates/placement/tests/sequences.rs
@@ -1,4 +1,4 @@
-//! Whatever happens in whatever order, nothing stays behind.
+//! Random sequences of events leave no outstanding work behind.
 
 mod support;
 
@@ -12,12 +12,12 @@
 enum Step {
     Place(u64),
     FirstToken(usize),
-    Drop(usize),
+    End(usize),
     Report(usize, u64, u64),
     Outcome(usize, EngineOutcome),
-    List(usize),
-    Peer(Vec<u8>),
-    Wait(u64),
+    SetEngines(usize),
+    PeerView(Vec<u8>),
+    Advance(u64),
 }
 
 impl Arbitrary for Step {
@@ -35,29 +35,33 @@
         match u8::arbitrary(g) % 12 {
             0..=4 => Step::Place(length_tokens),
             5 => Step::FirstToken(index),
-            6 => Step::Drop(index),
+            6 => Step::End(index),
             7 => Step::Report(index, u64::arbitrary(g) % 10_000, length_tokens),
-            8 => Step::Outcome(index, *g.choose(&outcomes).expect("some")),
-            9 => Step::List(index),
-            10 => Step::Peer(Vec::arbitrary(g)),
-            _ => Step::Wait(u64::arbitrary(g) % 20_000),
+            8 => Step::Outcome(index, *g.choose(&outcomes).expect("outcomes")),
+            9 => Step::SetEngines(index),
+            10 => Step::PeerView(Vec::arbitrary(g)),
+            _ => Step::Advance(u64::arbitrary(g) % 20_000),
         }
     }
 }
 
-fn counters_return_to_zero(steps: Vec<Step>) -> bool {
+fn counters_match_and_return_to_zero(steps: Vec<Step>) -> bool {
     let fleet = fleet(6);
-    let mut held: Vec<PlacedRequest> = Vec::new();
+    let mut active: Vec<PlacedRequest> = Vec::new();
     for (number, step) in steps.into_iter().enumerate() {
         match step {
             Step::Place(length_tokens) => {
-                held.extend(fleet.placement.place(&fleet.patient(length_tokens), &[]));
+                active.extend(
+                    fleet
+                        .placement
+                        .place(&fleet.patient_request(length_tokens), &[]),
+                );
             }
             Step::FirstToken(index) => {
-                held.get_mut(index).map(PlacedRequest::record_first_token);
+                active.get_mut(index).map(PlacedRequest::record_first_token);
             }
-            Step::Drop(index) if index < held.len() => drop(held.swap_remove(index)),
-            Step::Drop(_) => {}
+            Step::End(index) if index < active.len() => drop(active.swap_remove(index)),
+            Step::End(_) => {}
             Step::Report(index, age_ms, waiting_prefill_tokens) => {
                 let mut report = report(number as u64 + 2);
                 report.age_ms = age_ms;
@@ -71,21 +75,21 @@
                     .placement
                     .record_outcome(&format!("engine-{index}"), outcome);
             }
-            Step::List(count) => fleet.placement.set_engines(engines(count)),
-            Step::Peer(view) => {
+            Step::SetEngines(count) => fleet.placement.set_engines(engines(count)),
+            Step::PeerView(view) => {
                 let peer = "entry-2".to_owned();
                 fleet
                     .placement
                     .apply_peer_view(&peer, number as u64, view.into());
             }
-            Step::Wait(wait_ms) => fleet.clock.advance(Duration::from_millis(wait_ms)),
+            Step::Advance(by_ms) => fleet.clock.advance(Duration::from_millis(by_ms)),
         }
         let status = fleet.placement.status();
         let counted = status
             .engines
             .iter()
             .map(|engine| engine.outstanding as usize);
-        let members = held
+        let members = active
             .iter()
             .map(|placed| placed.group.as_ref().map_or(1, Vec::len));
         if counted.sum::<usize>() != members.sum::<usize>() {
@@ -95,7 +99,7 @@
             return false;
         }
     }
-    held.clear();
+    active.clear();
     let engines = fleet.placement.status().engines;
     engines.iter().all(|engine| {
         (
@@ -111,5 +115,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 4))
         .tests(300)
-        .quickcheck(counters_return_to_zero as fn(Vec<Step>) -> bool);
+        .quickcheck(counters_match_and_return_to_zero as fn(Vec<Step>) -> bool);
 }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet under a clock that stands still.
+//! A daemon and its engines under a manual clock.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses a subset")]
 
 use std::time::{Duration, Instant};
 
@@ -18,7 +18,7 @@
     pub placement: Placement,
 }
 
-/// A daemon before `count` idle engines spread over the zones.
+/// A daemon with `count` idle engines, spread over the availability zones.
 pub fn fleet(count: usize) -> Fleet {
     daemon(
         "entry-1",
@@ -59,7 +59,7 @@
     }
 }
 
-/// An idle engine's report: 10,000 tokens a second, memory for 400,000 tokens.
+/// Report of an idle engine: 10,000 tokens per second, memory for 400,000 tokens.
 pub fn report(sequence: u64) -> LoadReport {
     LoadReport {
         incarnation: 1,
@@ -78,8 +78,9 @@
 }
 
 impl Fleet {
-    /// A request of a class that starts within two seconds and ends within a minute.
-    pub fn demand(&self, length_tokens: u64) -> PlacementRequest {
+    /// A request with a target of two seconds to the first token and a deadline in
+    /// one minute.
+    pub fn request(&self, length_tokens: u64) -> PlacementRequest {
         PlacementRequest {
             model: MODEL.to_owned(),
             length_tokens,
@@ -90,18 +91,19 @@
         }
     }
 
-    /// A request of a class that starts within minutes.
-    pub fn patient(&self, length_tokens: u64) -> PlacementRequest {
+    /// A request with a target of five minutes to the first token and a deadline
+    /// in ten minutes.
+    pub fn patient_request(&self, length_tokens: u64) -> PlacementRequest {
         PlacementRequest {
             time_to_first_token: Duration::from_secs(300),
             deadline: self.clock.now() + Duration::from_secs(600),
-            ..self.demand(length_tokens)
+            ..self.request(length_tokens)
         }
     }
 
-    /// Engines from the short end to the long end.
+    /// Engines in stable order, from the short end to the long end.
     pub fn order(&self) -> Vec<String> {
-        let explanation = self.placement.explain(&self.demand(1_000));
+        let explanation = self.placement.explain(&self.request(1_000));
         let considered = explanation.considered.into_iter();
         considered.map(|engine| engine.instance).collect()
     }
@@ -109,6 +111,6 @@
     pub fn status(&self, instance: &str) -> EngineStatus {
         let engines = self.placement.status().engines.into_iter();
         let mut found = engines.filter(|engine| engine.instance == instance);
-        found.next().expect("known engine")
+        found.next().expect("engine is listed")
     }
 }
