--- a/crates/admission/examples/embed.rs
+++ b/crates/admission/examples/embed.rs
@@ -1,4 +1,4 @@
-//! Smallest use of the admission without the daemon.
+//! Minimal use of the admission control without the daemon.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
         arrived,
         deadline: arrived + Duration::from_secs(10),
     };
-    // A placement would predict this; see that crate's example.
+    // A placement provides the estimate; see the example of that crate.
     let estimate = || {
         Some(Estimate {
             time_to_first_token: Duration::from_millis(150),
@@ -33,7 +33,7 @@
         })
     };
     let mut permit = admission.admit(request, estimate).await?;
-    // The request would run here; its first token comes, then the rest.
+    // The request would run here, with the first token followed by the rest.
     permit.record_first_token(arrived.elapsed());
     drop(permit);
     println!("{:?}", admission.status());
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -1,4 +1,4 @@
-//! The handle that the other crates hold.
+//! [`Admission`], the public handle of this crate.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,17 +9,17 @@
 use mangofront_settings::ids::ClassName;
 use mangofront_settings::published::Class;
 
-use crate::entered::{Admitted, Entered, Queued};
+use crate::decision::{Admitted, Decision, Queued};
 use crate::lane::LaneKey;
 use crate::options::AdmissionOptions;
 use crate::permit::Permit;
+use crate::queue_wait::QueueWait;
 use crate::request::{AdmissionRequest, Refusal};
 use crate::retry::RetryBudget;
 use crate::state::State;
 use crate::status::{AdmissionStatus, LaneStatus};
-use crate::waiting::Waiting;
 
-/// Decides on requests; clones share one state.
+/// Admits, queues or refuses requests; clones share one state.
 #[derive(Debug, Clone)]
 pub struct Admission {
     state: Rc<RefCell<State>>,
@@ -28,7 +28,7 @@
 }
 
 impl Admission {
-    /// An admission that knows no class yet.
+    /// Creates an admission control without classes.
     #[must_use]
     pub fn new(options: AdmissionOptions) -> Self {
         Self {
@@ -38,17 +38,18 @@
         }
     }
 
-    /// Takes over the published classes.
+    /// Replaces the request classes.
     pub fn set_classes(&self, classes: &BTreeMap<ClassName, Class>) {
         self.state.borrow_mut().classes.clone_from(classes);
     }
 
-    /// Admits the request, after a wait in the queue if need be.
+    /// Admits the request, after waiting in the queue if necessary.
     ///
-    /// Dropping the future takes the request out of the queue.
+    /// Dropping the future removes the request from the queue.
     ///
     /// # Errors
-    /// [`Refusal`] as soon as it is clear that the class's time can't be met.
+    /// [`Refusal`] as soon as it is known that the request can't be served
+    /// within its class's time limit.
     pub async fn admit(
         &self,
         request: AdmissionRequest,
@@ -59,7 +60,7 @@
             Ok(admitted) => Ok(Permit {
                 admission: self.clone(),
                 admitted,
-                has_started: false,
+                has_first_token: false,
                 has_succeeded: false,
             }),
             Err(refusal) => {
@@ -70,21 +71,22 @@
         }
     }
 
-    /// Budget that every retry is to be taken from.
+    /// Budget from which every retry must be taken.
     #[must_use]
     pub fn retry_budget(&self) -> &RetryBudget {
         &self.retry_budget
     }
 
-    /// Refuses everything from now on, also those that wait.
+    /// Refuses all waiting and all future requests.
     pub fn close(&self, retry_after: Duration) {
         self.state.borrow_mut().close(retry_after);
     }
 
-    /// Refuses those that wait in vain and gives out free places.
+    /// Refuses waiting requests that can't start in time any more and admits
+    /// others while there is capacity.
     ///
-    /// Waiting requests see to that by themselves; it is for programs that set
-    /// the clock by hand.
+    /// Only needed with a manual clock; otherwise waiting requests do this
+    /// themselves.
     pub fn refresh(&self) {
         let keys: Vec<LaneKey> = self.state.borrow().lanes.keys().cloned().collect();
         for key in keys {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// The state, for a status page.
+    /// Current state, for a status page.
     #[must_use]
     pub fn status(&self) -> AdmissionStatus {
         let state = self.state.borrow();
@@ -113,7 +115,7 @@
                     outstanding: lane.outstanding,
                     waiting: lane.queue.len(),
                     drained_per_s: lane.drain_per_s(now).unwrap_or(0.0),
-                    stretch: lane.stretch(now),
+                    stretch: lane.prediction_factor(now),
                 })
                 .collect(),
         }
@@ -125,19 +127,22 @@
         estimate: impl Fn() -> Option<Estimate>,
     ) -> Result<Admitted, Refusal> {
         let predicted = estimate();
-        let entered = self
+        let decision = self
             .state
             .borrow_mut()
-            .enter(request, predicted, self.now())?;
-        let queued = match entered {
-            Entered::Admitted(admitted) => return Ok(admitted),
-            Entered::Queued(queued) => queued,
+            .submit(request, predicted, self.now())?;
+        let queued = match decision {
+            Decision::Admitted(admitted) => return Ok(admitted),
+            Decision::Queued(queued) => queued,
         };
         let lane = queued.lane.clone();
-        Waiting::new(self.clone(), queued).granted().await?;
+        QueueWait::new(self.clone(), queued).wait().await?;
         let predicted = estimate();
         let now = self.now();
-        let admitted = self.state.borrow_mut().take_up(request, predicted, now);
+        let admitted = self
+            .state
+            .borrow_mut()
+            .admit_granted(request, predicted, now);
         if admitted.is_err() {
             self.release(&lane, false);
         }
@@ -152,8 +157,8 @@
         self.state.borrow_mut().refresh(lane, self.now());
     }
 
-    pub(crate) fn leave(&self, queued: &Queued) {
-        self.state.borrow_mut().leave(queued);
+    pub(crate) fn remove_waiter(&self, queued: &Queued) {
+        self.state.borrow_mut().remove_waiter(queued);
     }
 
     pub(crate) fn release(&self, lane: &LaneKey, has_run: bool) {
@@ -161,13 +166,17 @@
         self.state.borrow_mut().release(lane, has_run, now);
     }
 
-    pub(crate) fn observe(&self, admitted: &Admitted, measured: Duration) {
+    pub(crate) fn observe_first_token(&self, admitted: &Admitted, measured: Duration) {
         let now = self.now();
-        self.state.borrow_mut().observe(admitted, measured, now);
+        self.state
+            .borrow_mut()
+            .observe_first_token(admitted, measured, now);
     }
 
-    pub(crate) fn observe_end(&self, admitted: &Admitted) {
+    pub(crate) fn observe_missing_first_token(&self, admitted: &Admitted) {
         let now = self.now();
-        self.state.borrow_mut().observe_end(admitted, now);
+        self.state
+            .borrow_mut()
+            .observe_missing_first_token(admitted, now);
     }
 }
--- a/crates/admission/src/backoff.rs
+++ b/crates/admission/src/backoff.rs
@@ -1,10 +1,11 @@
-//! Waits between retries, spread so that callers do not return together.
+//! Exponential backoff with jitter, so that retries of many callers don't
+//! coincide.
 
 use std::time::Duration;
 
-/// Even draws from 0 to 1, by xorshift.
+/// Xorshift generator of uniformly distributed numbers from 0 to 1.
 ///
-/// Invariant: the state is never zero, which the generator would not leave.
+/// Invariant: the state is not zero, as xorshift would then yield only zeros.
 #[derive(Debug, Clone)]
 pub(crate) struct Jitter(u64);
 
@@ -27,8 +28,7 @@
     }
 }
 
-/// Waits that grow twofold up to a limit, each drawn evenly from zero to its
-/// bound.
+/// Waits drawn uniformly between zero and a bound that doubles up to a limit.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     next_bound: Duration,
@@ -37,7 +37,8 @@
 }
 
 impl Backoff {
-    /// Waits from `first` up to `limit`; `seed` decides the draws.
+    /// Creates a backoff whose bound starts at `first` and grows up to `limit`;
+    /// `seed` determines the jitter.
     #[must_use]
     pub fn new(first: Duration, limit: Duration, seed: u64) -> Self {
         Self {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Next wait.
+    /// Draws the next wait and doubles the bound.
     pub fn next_wait(&mut self) -> Duration {
         let bound = self.next_bound;
         self.next_bound = (bound * 2).min(self.limit);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,26 +1,26 @@
-//! Request classes, deadlines, fair share and shedding.
+//! Admission control with deadlines, fair queueing and load shedding.
 //!
-//! Owns the decision whether a request may go to an engine now, waits for a
-//! short while, or is refused at once with a time to come back. `entry` asks
-//! for a [`Permit`] with an estimate that `placement` gives, and holds it until
-//! the answer has ended; `platform` hands in the classes. Engines are not known
-//! in here.
+//! Decides whether a request is admitted at once, waits in a queue, or is
+//! refused with a time after which to retry. `entry` requests a [`Permit`] with
+//! an estimate from `placement` and holds it until the answer has ended;
+//! `platform` supplies the request classes. This crate doesn't know individual
+//! engines.
 //!
-//! `docs/design/admission.md` tells the ways that were weighed.
+//! See `docs/design/admission.md` for the alternatives considered.
 
 mod admission;
 mod backoff;
-mod entered;
+mod decision;
 mod lane;
 mod limit;
 mod options;
 mod permit;
 mod queue;
+mod queue_wait;
 mod request;
 mod retry;
 mod state;
 mod status;
-mod waiting;
 
 pub use mangofront_placement::{Clock, Estimate};
 
--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -1,42 +1,43 @@
-//! How much work may be outstanding, found from what the engines do.
+//! Adaptive concurrency limit, derived from the latency of first tokens.
 //!
-//! The limit doubles while few first tokens are late, as a TCP window does at
-//! its start, then grows by about two for each of its lengths, and shrinks by a
-//! fixed share while many are. Late means two things at once: later than the
-//! class's target, and well behind what the prompt would take on its own. The
-//! first alone would blame the queue for prompts that are slow by themselves;
-//! the second alone would keep engines idle that still meet every target.
+//! While few first tokens are late, the limit grows: by one per timely first
+//! token until the first decrease, as in TCP slow start, and by about two per
+//! round of `limit` first tokens afterwards. While many are late, it shrinks by
+//! a constant factor. A first token is late if it misses the class's target and
+//! also takes much longer than the prompt would without a queue. The first
+//! condition alone would attribute inherently slow prompts to queueing; the
+//! second alone would leave engines idle that still meet every target.
 //!
-//! One late token says little: chance brings some at any load, and what other
-//! daemons placed is to blame as often as this one. So it takes a share of late
-//! ones, and a limit that is in use, to shrink it.
+//! A single late token is weak evidence: some occur at any load, and requests of
+//! other daemons cause as many as this daemon's own. The limit therefore shrinks
+//! only when a share of first tokens is late and the limit is in use.
 
 use std::time::{Duration, Instant};
 
 use mangofront_placement::SmoothedMean;
 
-/// Largest limit.
+/// Maximum limit, in requests.
 const MAX_LIMIT: f64 = 4_096.0;
 
-/// Share that is left after a decrease.
-const DECREASE: f64 = 0.9;
+/// Factor by which a decrease multiplies the limit.
+const DECREASE_FACTOR: f64 = 0.9;
 
-/// Share of late first tokens from which the limit shrinks.
+/// Share of late first tokens above which the limit shrinks.
 const MAX_LATE_SHARE: f64 = 0.3;
 
-/// Part of the limit that must be in use for it to change.
-const IN_USE: f64 = 0.7;
+/// Share of the limit that must be in use for it to change.
+const MIN_USED_SHARE: f64 = 0.7;
 
-/// Growth over one length of the limit, after the first decrease.
-const INCREASE: f64 = 2.0;
+/// Growth per round of `limit` first tokens, after the first decrease.
+const LINEAR_INCREASE: f64 = 2.0;
 
-/// Measured over unqueued time from which a first token may count as late.
+/// Ratio of measured to unqueued time above which a first token may be late.
 const LATE_FACTOR: f64 = 1.5;
 
-/// Shortest time between two decreases.
-const MIN_BETWEEN_DECREASES: Duration = Duration::from_millis(100);
+/// Minimum time between two decreases.
+const MIN_DECREASE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Limit of concurrently outstanding requests.
+/// Limit on concurrently outstanding requests.
 ///
 /// Invariant: `1 <= limit <= MAX_LIMIT`.
 #[derive(Debug, Clone)]
@@ -47,18 +48,19 @@
     decreased_at: Option<Instant>,
 }
 
-/// What was seen of one request.
+/// Latency observed for one request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Seen {
-    /// Time from its admission to its first token, or without one so far.
+pub(crate) struct LatencySample {
+    /// Time from admission to the first token, or to the end of a request without
+    /// one.
     pub(crate) measured: Duration,
-    /// Time that it would have taken without a queue.
+    /// Predicted time to the first token without a queue.
     pub(crate) unqueued: Duration,
-    /// Part of its class's target that was left at its admission.
+    /// Part of the class's target that remained at admission.
     pub(crate) target: Duration,
 }
 
-impl Seen {
+impl LatencySample {
     pub(crate) fn is_late(&self) -> bool {
         self.measured > self.target && self.measured > self.unqueued.mul_f64(LATE_FACTOR)
     }
@@ -79,16 +81,16 @@
         self.limit as usize
     }
 
-    /// Takes in a request's time, with `outstanding` in flight.
-    pub(crate) fn observe(&mut self, seen: Seen, outstanding: usize, now: Instant) {
-        let is_late = seen.is_late();
+    /// Adjusts the limit to a sample taken with `outstanding` requests in flight.
+    pub(crate) fn observe(&mut self, sample: LatencySample, outstanding: usize, now: Instant) {
+        let is_late = sample.is_late();
         self.late_share.observe(f64::from(u8::from(is_late)));
-        if (outstanding as f64) < IN_USE * self.limit {
+        if (outstanding as f64) < MIN_USED_SHARE * self.limit {
             return;
         }
         let late_share = self.late_share.mean().unwrap_or(0.0);
         if late_share > MAX_LATE_SHARE {
-            self.decrease(seen, now);
+            self.decrease(sample, now);
         } else if !is_late {
             self.increase();
         }
@@ -96,21 +98,21 @@
 
     fn increase(&mut self) {
         let step = if self.was_decreased {
-            INCREASE / self.limit
+            LINEAR_INCREASE / self.limit
         } else {
             1.0
         };
         self.limit = (self.limit + step).min(MAX_LIMIT);
     }
 
-    fn decrease(&mut self, seen: Seen, now: Instant) {
-        // Requests that were in flight together tell of one overload, not many.
-        let pause = seen.measured.max(MIN_BETWEEN_DECREASES);
-        if self.decreased_at.is_some_and(|at| now < at + pause) {
+    fn decrease(&mut self, sample: LatencySample, now: Instant) {
+        // Requests that were in flight together indicate a single overload.
+        let min_interval = sample.measured.max(MIN_DECREASE_INTERVAL);
+        if self.decreased_at.is_some_and(|at| now < at + min_interval) {
             return;
         }
         self.was_decreased = true;
         self.decreased_at = Some(now);
-        self.limit = (self.limit * DECREASE).max(1.0);
+        self.limit = (self.limit * DECREASE_FACTOR).max(1.0);
     }
 }
--- a/crates/admission/src/options.rs
+++ b/crates/admission/src/options.rs
@@ -1,14 +1,14 @@
-//! Settings of the admission.
+//! Options of an admission control.
 
 use mangofront_placement::Clock;
 
-/// Requests that may wait at a time, unless set otherwise.
+/// Default limit on the requests waiting in each lane.
 pub const DEFAULT_QUEUE_LIMIT: usize = 1_024;
 
-/// Share of successes that may be spent on retries, unless set otherwise.
+/// Default number of retries allowed per successful request.
 pub const DEFAULT_RETRY_SHARE: f64 = 0.1;
 
-/// Builder of an [`Admission`](crate::Admission)'s settings.
+/// Options of an [`Admission`](crate::Admission), set by builder methods.
 #[derive(Debug, Clone)]
 pub struct AdmissionOptions {
     pub(crate) queue_limit: usize,
@@ -27,20 +27,20 @@
 }
 
 impl AdmissionOptions {
-    /// The default settings.
+    /// Creates the default options.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets how many requests may wait at a time.
+    /// Sets the limit on the requests waiting in each lane.
     #[must_use]
     pub fn queue_limit(mut self, queue_limit: usize) -> Self {
         self.queue_limit = queue_limit;
         self
     }
 
-    /// Sets the share of successes that may be spent on retries.
+    /// Sets the number of retries allowed per successful request, from 0 to 1.
     #[must_use]
     pub fn retry_share(mut self, retry_share: f64) -> Self {
         self.retry_share = retry_share;
--- a/crates/admission/src/permit.rs
+++ b/crates/admission/src/permit.rs
@@ -1,32 +1,33 @@
-//! Leave to run one request.
+//! Permission to run one request.
 
 use std::time::Duration;
 
 use crate::admission::Admission;
-use crate::entered::Admitted;
+use crate::decision::Admitted;
 
-/// Leave to run one request; dropping it says that the request has ended.
+/// Permission to run one request; dropping it marks the request as ended.
 #[derive(Debug)]
 pub struct Permit {
     pub(crate) admission: Admission,
     pub(crate) admitted: Admitted,
-    pub(crate) has_started: bool,
+    pub(crate) has_first_token: bool,
     pub(crate) has_succeeded: bool,
 }
 
 impl Permit {
-    /// Notes the time from arrival to the first token; only the first call counts.
+    /// Records the time from arrival to the first token; later calls have no
+    /// effect.
     pub fn record_first_token(&mut self, time_to_first_token: Duration) {
-        if self.has_started {
+        if self.has_first_token {
             return;
         }
-        self.has_started = true;
+        self.has_first_token = true;
         let waited = self.admitted.admitted_at - self.admitted.arrived;
         let measured = time_to_first_token.saturating_sub(waited);
-        self.admission.observe(&self.admitted, measured);
+        self.admission.observe_first_token(&self.admitted, measured);
     }
 
-    /// Notes that the answer ended well, for one that came without a first token.
+    /// Records success for an answer that completed without a first token.
     pub fn record_success(&mut self) {
         self.has_succeeded = true;
     }
@@ -34,10 +35,10 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if self.has_started || self.has_succeeded {
+        if self.has_first_token || self.has_succeeded {
             self.admission.retry_budget().record_success();
         } else {
-            self.admission.observe_end(&self.admitted);
+            self.admission.observe_missing_first_token(&self.admitted);
         }
         self.admission.release(&self.admitted.lane, true);
     }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,9 +1,10 @@
-//! Requests that wait for a place in one lane.
+//! Queue of one lane's waiting requests.
 //!
-//! Across classes the one whose head must start earliest goes first. Inside a
-//! class the organisations take turns by deficit round robin over the tokens of
-//! their prompts, so that an organisation with many or long prompts gets no
-//! more than one with few short ones while both wait.
+//! Among classes, the one with the earliest latest start at the head of an
+//! organisation's queue is served first. Within a class, organisations are
+//! served by deficit round robin over their prompts' tokens, so that an
+//! organisation with many or long prompts gets no more than one with few short
+//! prompts while both wait.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
@@ -13,33 +14,33 @@
 
 use crate::request::Refusal;
 
-/// Number of a waiter.
+/// Identifies a waiter; later waiters have higher numbers.
 pub(crate) type WaiterId = u64;
 
-/// What a waiter is told.
+/// Outcome of a wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// A place is its own: the lane counts it as outstanding already.
+pub(crate) enum QueueOutcome {
+    /// The waiter owns a slot, which the lane counts as outstanding already.
     Granted,
-    /// It was taken out of the queue.
+    /// The waiter was removed from the queue.
     Refused(Refusal),
 }
 
-/// One request that waits.
+/// A waiting request.
 #[derive(Debug)]
 pub(crate) struct Waiter {
     pub(crate) id: WaiterId,
-    /// Tokens that it counts for in its organisation's share.
+    /// Tokens charged to its organisation.
     pub(crate) cost_tokens: u64,
-    /// Time after which it can't be served within its class any more.
+    /// Latest time at which it can start to be served within its class's limit.
     pub(crate) latest_start: Instant,
-    pub(crate) reply: oneshot::Sender<Verdict>,
+    pub(crate) reply: oneshot::Sender<QueueOutcome>,
 }
 
 /// Waiters of one lane.
 ///
-/// Invariants: `len` counts all waiters; no class and no organisation stands
-/// in it without a waiter.
+/// Invariants: `len` counts all waiters; every class and organisation in the
+/// queue has at least one waiter.
 #[derive(Debug)]
 pub(crate) struct Queue {
     quantum_tokens: u64,
@@ -47,7 +48,7 @@
     classes: BTreeMap<ClassName, ClassQueue>,
 }
 
-/// Organisations of one class, the one whose turn it is first.
+/// Organisations of one class, the next in turn first.
 type ClassQueue = VecDeque<OrganisationQueue>;
 
 #[derive(Debug)]
@@ -58,7 +59,7 @@
 }
 
 impl Queue {
-    /// A queue in which each turn is worth `quantum_tokens`.
+    /// Creates a queue whose organisations get `quantum_tokens` per round.
     pub(crate) fn new(quantum_tokens: u64) -> Self {
         Self {
             quantum_tokens,
@@ -96,7 +97,7 @@
         });
     }
 
-    /// Takes out the waiter that is next.
+    /// Removes and returns the next waiter.
     pub(crate) fn pop(&mut self) -> Option<Waiter> {
         let heads = self
             .classes
@@ -113,24 +114,24 @@
         Some(waiter)
     }
 
-    /// Takes out one waiter by its number.
+    /// Removes a waiter by its number.
     pub(crate) fn remove(&mut self, id: WaiterId) -> Option<Waiter> {
         self.extract(|waiter| waiter.id == id).pop()
     }
 
-    /// Takes out every waiter that could not start in time at `now`.
+    /// Removes all waiters whose latest start is before `now`.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<Waiter> {
         self.extract(|waiter| waiter.latest_start < now)
     }
 
-    /// Takes out every waiter.
+    /// Removes all waiters.
     pub(crate) fn drain(&mut self) -> Vec<Waiter> {
         self.extract(|_| true)
     }
 
-    /// Takes out the youngest waiter of the organisation with the most, if
-    /// that is more than `organisation` would have with one more.
-    pub(crate) fn make_room_for(&mut self, organisation: &OrganisationId) -> Option<Waiter> {
+    /// Removes the newest waiter of the organisation with the most waiters, if it
+    /// has more than `organisation` would have with one more.
+    pub(crate) fn evict_for(&mut self, organisation: &OrganisationId) -> Option<Waiter> {
         let mut counts: BTreeMap<&OrganisationId, usize> = BTreeMap::new();
         for queue in self.classes.values().flatten() {
             *counts.entry(&queue.organisation).or_default() += queue.waiters.len();
@@ -141,28 +142,28 @@
             return None;
         }
         let queues = self.classes.values().flatten();
-        let youngest = queues
+        let newest = queues
             .filter(|queue| queue.organisation == *largest)
             .filter_map(|queue| queue.waiters.back())
             .map(|waiter| waiter.id)
             .max()?;
-        self.remove(youngest)
+        self.remove(newest)
     }
 
-    fn extract(&mut self, mut is_out: impl FnMut(&Waiter) -> bool) -> Vec<Waiter> {
-        let mut out = Vec::new();
+    fn extract(&mut self, mut should_extract: impl FnMut(&Waiter) -> bool) -> Vec<Waiter> {
+        let mut extracted = Vec::new();
         for queues in self.classes.values_mut() {
             for queue in queues.iter_mut() {
                 let waiters = std::mem::take(&mut queue.waiters).into_iter();
-                let (taken, kept): (VecDeque<_>, _) = waiters.partition(&mut is_out);
+                let (removed, kept): (VecDeque<_>, _) = waiters.partition(&mut should_extract);
                 queue.waiters = kept;
-                out.extend(taken);
+                extracted.extend(removed);
             }
             queues.retain(|queue| !queue.waiters.is_empty());
         }
         self.classes.retain(|_, queues| !queues.is_empty());
-        self.len -= out.len();
-        out
+        self.len -= extracted.len();
+        extracted
     }
 }
 
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of the admission, and how it refuses.
+//! Requests to be admitted and their refusals.
 
 use std::time::{Duration, Instant};
 
@@ -6,50 +6,50 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// One request that wants to be admitted.
+/// A request to be admitted.
 #[derive(Debug, Clone)]
 pub struct AdmissionRequest {
-    /// Class of work.
+    /// Request class.
     pub class: ClassName,
-    /// Customer that pays.
+    /// Organisation to which the request is charged.
     pub organisation: OrganisationId,
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelName,
     /// Length of the prompt, in tokens.
     pub length_tokens: u64,
-    /// Time at which it came in.
+    /// Time of arrival.
     pub arrived: Instant,
-    /// Time at which it fails if it has not finished.
+    /// Time at which the request fails if it has not completed.
     pub deadline: Instant,
 }
 
-/// A request was not admitted, so it has not run.
+/// Refusal of a request, which has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("admission: {reason}")]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused.
     pub reason: RefusalReason,
-    /// Time after which a retry makes sense.
+    /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
 
-/// Why a request was not admitted.
+/// Why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Error)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
     /// The class is not published.
     #[error("unknown class")]
     UnknownClass,
-    /// No engine can take it.
+    /// No engine can take the request.
     #[error("no engine can take it")]
     NoEngine,
-    /// It would start or finish too late for its class.
+    /// The request would complete too late for its class or deadline.
     #[error("its class's time cannot be met")]
     TooLate,
-    /// Too many requests wait already.
+    /// Too many requests are waiting.
     #[error("too many requests wait")]
     QueueFull,
-    /// The daemon stops.
+    /// The daemon is shutting down.
     #[error("stopping")]
     Closed,
 }
--- a/crates/admission/src/retry.rs
+++ b/crates/admission/src/retry.rs
@@ -1,51 +1,51 @@
-//! A budget that keeps retries a small share of the successes.
+//! Retry budget that limits retries to a fraction of successful requests.
 //!
-//! When engines fail in numbers, retries would add load just when there is
-//! least room. Each request that got its first token pays a fraction of a retry into a store; a
-//! retry is made only when the store holds a whole one.
+//! When many engines fail, retries would add load just when the least capacity
+//! is left. Each successful request adds a fraction of a retry to the budget,
+//! and a retry is made only if the budget holds at least one.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Most retries that may be saved up.
+/// Maximum number of retries that the budget holds.
 const MAX_SAVED_RETRIES: f64 = 10.0;
 
-/// Store of retries; clones share it.
+/// Budget of retries; clones share one balance.
 ///
-/// Invariant: `0 <= saved <= MAX_SAVED_RETRIES`.
+/// Invariant: `0 <= balance <= MAX_SAVED_RETRIES`.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    saved: Rc<Cell<f64>>,
-    share: f64,
+    balance: Rc<Cell<f64>>,
+    retries_per_success: f64,
 }
 
 impl RetryBudget {
-    pub(crate) fn new(share: f64) -> Self {
+    pub(crate) fn new(retries_per_success: f64) -> Self {
         Self {
-            saved: Rc::new(Cell::new(MAX_SAVED_RETRIES)),
-            share: share.clamp(0.0, 1.0),
+            balance: Rc::new(Cell::new(MAX_SAVED_RETRIES)),
+            retries_per_success: retries_per_success.clamp(0.0, 1.0),
         }
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry; returns whether there was one.
     #[must_use]
     pub fn try_take(&self) -> bool {
-        let saved = self.saved.get();
-        if saved < 1.0 {
+        let balance = self.balance.get();
+        if balance < 1.0 {
             return false;
         }
-        self.saved.set(saved - 1.0);
+        self.balance.set(balance - 1.0);
         true
     }
 
-    /// Whole retries that could be taken now.
+    /// Number of retries that can be taken now.
     #[must_use]
     pub fn available(&self) -> u32 {
-        self.saved.get() as u32
+        self.balance.get() as u32
     }
 
     pub(crate) fn record_success(&self) {
-        let saved = self.saved.get() + self.share;
-        self.saved.set(saved.min(MAX_SAVED_RETRIES));
+        let balance = self.balance.get() + self.retries_per_success;
+        self.balance.set(balance.min(MAX_SAVED_RETRIES));
     }
 }
--- a/crates/admission/src/state.rs
+++ b/crates/admission/src/state.rs
@@ -1,4 +1,4 @@
-//! What the handles share.
+//! State shared by the clones of an [`Admission`](crate::Admission).
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,22 +9,22 @@
 use mangofront_settings::published::Class;
 
 use crate::backoff::Jitter;
-use crate::entered::{Admitted, Entered, Queued};
+use crate::decision::{Admitted, Decision, Queued};
 use crate::lane::{Lane, LaneKey, LengthLane};
-use crate::queue::{Verdict, Waiter, WaiterId};
+use crate::queue::{QueueOutcome, Waiter, WaiterId};
 use crate::request::{AdmissionRequest, Refusal, RefusalReason};
 
-/// Time to come back when nothing better is known.
+/// Retry time of refusals without a better estimate.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Least cost of a request in its organisation's share, in tokens.
+/// Minimum cost of a request charged to its organisation, in tokens.
 const MIN_COST_TOKENS: u64 = 512;
 
-/// State behind an [`Admission`](crate::Admission).
+/// Classes, lanes and counters.
 ///
-/// Invariant: a request is in one of four places: in its lane's queue, granted
-/// a place that it has not taken up, holding a permit, or gone. Only the second
-/// and third count as outstanding.
+/// Invariant: a request is in one of four states: waiting in its lane's queue,
+/// granted a slot that it has not claimed yet, holding a permit, or gone. Only
+/// the second and third count as outstanding.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) classes: BTreeMap<ClassName, Class>,
@@ -51,15 +51,15 @@
         }
     }
 
-    /// Admits, queues or refuses a request that has just come in.
-    pub(crate) fn enter(
+    /// Admits, queues or refuses a new request.
+    pub(crate) fn submit(
         &mut self,
         request: &AdmissionRequest,
         estimate: Option<Estimate>,
         now: Instant,
-    ) -> Result<Entered, Refusal> {
+    ) -> Result<Decision, Refusal> {
         let class = self.class(request)?;
-        let estimate = estimate.ok_or_else(|| plain(RefusalReason::NoEngine))?;
+        let estimate = estimate.ok_or_else(|| default_refusal(RefusalReason::NoEngine))?;
         let lane = self.lane(request);
         let ahead = if lane.is_free() {
             0
@@ -67,34 +67,35 @@
             lane.queue.len() + 1
         };
         let is_free = lane.is_free();
-        let unqueued_s = self.check(request, &class, &estimate, ahead, now)?;
+        let unqueued_s = self.check_time(request, &class, &estimate, ahead, now)?;
         if is_free {
             let lane = self.lane(request);
             lane.outstanding += 1;
-            return Ok(Entered::Admitted(
+            return Ok(Decision::Admitted(
                 self.admit(request, &class, estimate, now),
             ));
         }
-        let last_end = last_end(request, &class);
+        let latest_end = latest_end(request, &class);
         let unqueued = Duration::try_from_secs_f64(unqueued_s).unwrap_or(Duration::MAX);
-        let latest_start = last_end.checked_sub(unqueued).unwrap_or(now);
-        self.queue(request, latest_start, now).map(Entered::Queued)
+        let latest_start = latest_end.checked_sub(unqueued).unwrap_or(now);
+        self.enqueue(request, latest_start, now)
+            .map(Decision::Queued)
     }
 
-    /// Admits or refuses a request that was granted a place after a wait.
-    pub(crate) fn take_up(
+    /// Admits or refuses a request that was granted a slot after waiting.
+    pub(crate) fn admit_granted(
         &mut self,
         request: &AdmissionRequest,
         estimate: Option<Estimate>,
         now: Instant,
     ) -> Result<Admitted, Refusal> {
         let class = self.class(request)?;
-        let estimate = estimate.ok_or_else(|| plain(RefusalReason::NoEngine))?;
-        self.check(request, &class, &estimate, 0, now)?;
+        let estimate = estimate.ok_or_else(|| default_refusal(RefusalReason::NoEngine))?;
+        self.check_time(request, &class, &estimate, 0, now)?;
         Ok(self.admit(request, &class, estimate, now))
     }
 
-    /// Refuses those that wait in vain and gives out free places.
+    /// Refuses waiters that can't start in time any more and grants free slots.
     pub(crate) fn refresh(&mut self, key: &LaneKey, now: Instant) {
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
@@ -102,19 +103,19 @@
         for waiter in lane.queue.expire(now) {
             let jitter = self.jitter.draw();
             let refusal = lane.refusal(RefusalReason::TooLate, 0.0, jitter, now);
-            send(waiter, refusal);
+            refuse_waiter(waiter, refusal);
         }
         lane.dispatch();
     }
 
-    /// Takes out a waiter that does not wait any more.
-    pub(crate) fn leave(&mut self, queued: &Queued) {
+    /// Removes a waiter that was dropped.
+    pub(crate) fn remove_waiter(&mut self, queued: &Queued) {
         if let Some(lane) = self.lanes.get_mut(&queued.lane) {
             lane.queue.remove(queued.id);
         }
     }
 
-    /// Gives back a place.
+    /// Releases a slot.
     pub(crate) fn release(&mut self, key: &LaneKey, has_run: bool, now: Instant) {
         if let Some(lane) = self.lanes.get_mut(key) {
             lane.release(has_run, now);
@@ -122,37 +123,42 @@
         self.refresh(key, now);
     }
 
-    /// Takes in a request's time to its first token.
-    pub(crate) fn observe(&mut self, admitted: &Admitted, measured: Duration, now: Instant) {
+    /// Records the time from a request's admission to its first token.
+    pub(crate) fn observe_first_token(
+        &mut self,
+        admitted: &Admitted,
+        measured: Duration,
+        now: Instant,
+    ) {
         let Some(lane) = self.lanes.get_mut(&admitted.lane) else {
             return;
         };
         let predicted = admitted.predicted.time_to_first_token;
-        lane.observe_error(measured, predicted, now);
+        lane.observe_prediction_error(measured, predicted, now);
         lane.limit
-            .observe(admitted.seen(measured), lane.outstanding, now);
+            .observe(admitted.sample(measured), lane.outstanding, now);
         self.refresh(&admitted.lane, now);
     }
 
-    /// Takes in that a request ended late without a first token.
-    pub(crate) fn observe_end(&mut self, admitted: &Admitted, now: Instant) {
-        let seen = admitted.seen(now - admitted.admitted_at);
-        if !seen.is_late() {
+    /// Records the end of a request without a first token, if it is late.
+    pub(crate) fn observe_missing_first_token(&mut self, admitted: &Admitted, now: Instant) {
+        let sample = admitted.sample(now - admitted.admitted_at);
+        if !sample.is_late() {
             return;
         }
         if let Some(lane) = self.lanes.get_mut(&admitted.lane) {
-            lane.limit.observe(seen, lane.outstanding, now);
+            lane.limit.observe(sample, lane.outstanding, now);
         }
     }
 
-    /// Refuses everything from now on, and all that wait.
+    /// Refuses all waiting and all future requests.
     pub(crate) fn close(&mut self, retry_after: Duration) {
         self.closed = Some(retry_after);
-        let refusal = closed(retry_after);
+        let refusal = closed_refusal(retry_after);
         let mut refused = 0;
         for lane in self.lanes.values_mut() {
             for waiter in lane.queue.drain() {
-                send(waiter, refusal);
+                refuse_waiter(waiter, refusal);
                 refused += 1;
             }
         }
@@ -161,7 +167,7 @@
 
     fn class(&self, request: &AdmissionRequest) -> Result<Class, Refusal> {
         if let Some(retry_after) = self.closed {
-            return Err(closed(retry_after));
+            return Err(closed_refusal(retry_after));
         }
         let class = self.classes.get(&request.class).cloned();
         class.ok_or(Refusal {
@@ -176,9 +182,9 @@
         self.lanes.entry(key).or_insert_with(|| Lane::new(length))
     }
 
-    /// Time that the request needs without any queue, in seconds, if it can
-    /// still be served behind `ahead` others.
-    fn check(
+    /// Checks that the request can be served in time with `ahead` others before
+    /// it; returns the time that it needs without any queue, in seconds.
+    fn check_time(
         &mut self,
         request: &AdmissionRequest,
         class: &Class,
@@ -186,16 +192,16 @@
         ahead: usize,
         now: Instant,
     ) -> Result<f64, Refusal> {
-        // A daemon that has just started would refuse long answers by the speed
-        // that it assumes of engines, though they are idle and fast.
+        // Otherwise a daemon that has just started would refuse long answers
+        // because of assumed speeds, although the engines may be idle and fast.
         if estimate.is_assumed {
             return Ok(0.0);
         }
-        let left = last_end(request, class).saturating_duration_since(now);
+        let remaining = latest_end(request, class).saturating_duration_since(now);
         let jitter = self.jitter.draw();
         let lane = self.lane(request);
         let forecast = lane.forecast(estimate, ahead, now);
-        let excess_s = forecast.needed_s - left.as_secs_f64();
+        let excess_s = forecast.needed_s - remaining.as_secs_f64();
         if excess_s > 0.0 {
             return Err(lane.refusal(RefusalReason::TooLate, excess_s, jitter, now));
         }
@@ -219,7 +225,7 @@
         }
     }
 
-    fn queue(
+    fn enqueue(
         &mut self,
         request: &AdmissionRequest,
         latest_start: Instant,
@@ -232,10 +238,10 @@
         let lane = self.lane(request);
         if lane.queue.len() >= queue_limit {
             let refusal = lane.refusal(RefusalReason::QueueFull, 0.0, jitter, now);
-            let Some(evicted) = lane.queue.make_room_for(&request.organisation) else {
+            let Some(evicted) = lane.queue.evict_for(&request.organisation) else {
                 return Err(refusal);
             };
-            send(evicted, refusal);
+            refuse_waiter(evicted, refusal);
         }
         let (reply, receiver) = oneshot::channel();
         let waiter = Waiter {
@@ -256,27 +262,27 @@
     }
 }
 
-/// Time by which a request must have ended.
-fn last_end(request: &AdmissionRequest, class: &Class) -> Instant {
+/// Latest time at which the request may end by its class and deadline.
+fn latest_end(request: &AdmissionRequest, class: &Class) -> Instant {
     let limit = request.arrived.checked_add(class.time_limit());
     limit.map_or(request.deadline, |limit| limit.min(request.deadline))
 }
 
-fn plain(reason: RefusalReason) -> Refusal {
+fn default_refusal(reason: RefusalReason) -> Refusal {
     Refusal {
         reason,
         retry_after: DEFAULT_RETRY_AFTER,
     }
 }
 
-fn closed(retry_after: Duration) -> Refusal {
+fn closed_refusal(retry_after: Duration) -> Refusal {
     Refusal {
         reason: RefusalReason::Closed,
         retry_after,
     }
 }
 
-/// Tells a waiter that it was refused; one that is gone needs no answer.
-fn send(waiter: Waiter, refusal: Refusal) {
-    let _ = waiter.reply.send(Verdict::Refused(refusal));
+/// Refuses a waiter; one that was dropped needs no reply.
+fn refuse_waiter(waiter: Waiter, refusal: Refusal) {
+    let _ = waiter.reply.send(QueueOutcome::Refused(refusal));
 }
--- a/crates/admission/src/status.rs
+++ b/crates/admission/src/status.rs
@@ -1,4 +1,4 @@
-//! The admission's state, for a status page.
+//! Status of an admission control, for a status page.
 
 use std::collections::BTreeMap;
 
@@ -8,40 +8,40 @@
 use crate::lane::LengthLane;
 use crate::request::RefusalReason;
 
-/// The admission's state.
+/// State of an admission control.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct AdmissionStatus {
-    /// Whether everything is refused because the daemon stops.
+    /// Whether all requests are refused because the daemon is shutting down.
     pub closed: bool,
-    /// Permits held.
+    /// Permits held and slots granted to waiting requests.
     pub outstanding: usize,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: usize,
     /// Requests admitted since the start.
     pub admitted: u64,
     /// Requests refused since the start, by reason.
     pub refused: BTreeMap<RefusalReason, u64>,
-    /// Retries that could be made now.
+    /// Retries that can be made now.
     pub retries_available: u32,
-    /// Each model and range of lengths that was asked for.
+    /// Lanes that have received requests.
     pub lanes: Vec<LaneStatus>,
 }
 
-/// State of one model and range of lengths.
+/// State of one lane: a model and a range of prompt lengths.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LaneStatus {
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelName,
-    /// Range of lengths.
+    /// Range of prompt lengths.
     pub length: LengthLane,
-    /// Requests that may be outstanding at once, as found of late.
+    /// Current concurrency limit.
     pub limit: usize,
-    /// Permits held.
+    /// Permits held and slots granted to waiting requests.
     pub outstanding: usize,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: usize,
-    /// Requests that ended, per second.
+    /// Recent rate of ended requests per second.
     pub drained_per_s: f64,
-    /// Factor by which predictions are stretched.
+    /// Factor that corrects predictions for their recent errors.
     pub stretch: f64,
 }
