--- a/crates/engines/src/choose.rs
+++ b/crates/engines/src/choose.rs
@@ -9,11 +9,11 @@
 use mangofront_settings::process::ChoiceOptions;
 use thiserror::Error;
 
+use crate::cost::{Weighing, read_after_ms};
+use crate::decision::{Forecast, ServedWithout, Verdict, judge};
+use crate::large_prompts::RequestFingerprint;
 use crate::layout::lay_out;
-use crate::shares::RequestFingerprint;
-use crate::upstream::{Known, Load};
-use crate::verdict::{Forecast, ServedWithout, Verdict, judge};
-use crate::weigh::{Weighing, read_after_ms};
+use crate::upstream_state::{Known, Load};
 use crate::work::Part;
 
 /// What a request needs.
--- a/crates/engines/src/crashes.rs
+++ b/crates/engines/src/crashes.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use crate::shares::RequestFingerprint;
+use crate::large_prompts::RequestFingerprint;
 use crate::work::UpstreamKey;
 
 /// Crashes under one request after which it is kept from all upstreams.
--- a/crates/engines/src/verdict.rs
+++ b/crates/engines/src/decision.rs
@@ -11,7 +11,7 @@
 //! already that holding on is known to be in vain.
 //!
 //! How many of each size may be refused is steered by what became of the others of it
-//! ([`crate::shares`]). A size that was served too seldom is not refused, and is sent
+//! ([`crate::large_prompts`]). A size that was served too seldom is not refused, and is sent
 //! while there is time to answer it rather than held for a shorter queue.
 
 use mangofront_settings::process::ChoiceOptions;
--- a/crates/engines/src/layout.rs
+++ b/crates/engines/src/layout.rs
@@ -6,7 +6,7 @@
 use mangofront_settings::process::ChoiceOptions;
 
 use crate::choose::{Candidate, Choice, Demand, NoUpstream, Share};
-use crate::weigh::pass_ms;
+use crate::cost::pass_ms;
 use crate::work::Part;
 
 /// Memory of a candidate that is planned with, in tokens.
--- a/crates/engines/src/lib.rs
+++ b/crates/engines/src/lib.rs
@@ -18,26 +18,26 @@
 
 mod arrivals;
 mod choose;
+mod cost;
 mod crashes;
+mod decision;
 mod health;
+mod incarnations;
+mod large_prompts;
 mod layout;
-mod lives;
-mod news;
-mod placed;
-mod shares;
+mod load_update;
+mod placement;
 mod state;
-mod upstream;
+mod upstream_state;
 mod upstreams;
-mod verdict;
-mod weigh;
 mod work;
 
 pub use choose::{Demand, NoUpstream, Share};
 pub use crashes::{CrashStatus, QuarantineState};
 pub use health::Failure;
+pub use large_prompts::{Progress, RequestFingerprint, SizeClass};
+pub use load_update::{IncarnationId, LoadUpdate};
 pub use mangofront_settings::process::ChoiceOptions;
-pub use news::{IncarnationId, LoadUpdate};
-pub use placed::Placement;
-pub use shares::{Progress, RequestFingerprint, SizeClass};
+pub use placement::Placement;
 pub use upstreams::{Clock, UpstreamStatus, Upstreams};
 pub use work::{UpstreamKey, WorkId, key_of};
--- a/crates/engines/src/news.rs
+++ b/crates/engines/src/load_update.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::crashes::Record;
-use crate::shares::{Progress, RequestFingerprint, SizeClass};
+use crate::large_prompts::{Progress, RequestFingerprint, SizeClass};
 use crate::work::{Part, UpstreamKey, Work, WorkId};
 
 /// One life of a daemon that tells news.
--- a/crates/engines/src/placed.rs
+++ b/crates/engines/src/placement.rs
@@ -5,8 +5,8 @@
 use mangofront_routes::Upstream;
 
 use crate::choose::Share;
-use crate::lives::LifeEnd;
-use crate::shares::{Progress, RequestFingerprint, SizeClass};
+use crate::incarnations::LifeEnd;
+use crate::large_prompts::{Progress, RequestFingerprint, SizeClass};
 use crate::upstreams::Upstreams;
 use crate::work::WorkId;
 
--- a/crates/engines/src/state.rs
+++ b/crates/engines/src/state.rs
@@ -9,11 +9,11 @@
 use crate::arrivals::Arrivals;
 use crate::choose::Demand;
 use crate::crashes::Crashes;
-use crate::lives::Lives;
-use crate::news::IncarnationId;
-use crate::shares::{Shares, SizeClass};
-use crate::upstream::Known;
-use crate::verdict::ServedWithout;
+use crate::decision::ServedWithout;
+use crate::incarnations::Lives;
+use crate::large_prompts::{Shares, SizeClass};
+use crate::load_update::IncarnationId;
+use crate::upstream_state::Known;
 use crate::work::{UpstreamKey, Work, WorkId};
 
 /// Who placed a request: this daemon or another.
--- a/crates/engines/src/upstreams.rs
+++ b/crates/engines/src/upstreams.rs
@@ -1,7 +1,7 @@
 //! The handle that holds all upstreams and the work on them.
 
 mod crash_records;
-mod exchange;
+mod updates;
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -18,11 +18,11 @@
     Candidate, Choice, Circumstances, Demand, NoUpstream, choose_engines, choose_plain,
 };
 use crate::health::Failure;
-use crate::news::{LoadUpdate, milliseconds, placed_news};
-use crate::placed::Placement;
-use crate::shares::{Progress, SizeClass};
+use crate::large_prompts::{Progress, SizeClass};
+use crate::load_update::{LoadUpdate, milliseconds, placed_news};
+use crate::placement::Placement;
 use crate::state::{OWN, State};
-use crate::upstream::{Known, Load, loads};
+use crate::upstream_state::{Known, Load, loads};
 use crate::work::{UpstreamKey, Work, key_of};
 use mangofront_settings::process::ChoiceOptions;
 
--- a/crates/engines/src/upstreams/crash_records.rs
+++ b/crates/engines/src/upstreams/crash_records.rs
@@ -4,8 +4,8 @@
 
 use super::Upstreams;
 use crate::crashes::{CRASHES_LIMIT, CrashStatus, QuarantineState};
-use crate::news::crashes_news;
-use crate::shares::RequestFingerprint;
+use crate::large_prompts::RequestFingerprint;
+use crate::load_update::crashes_news;
 use crate::state::State;
 use crate::work::UpstreamKey;
 
--- a/crates/engines/src/upstreams/exchange.rs
+++ b/crates/engines/src/upstreams/updates.rs
@@ -4,8 +4,8 @@
 
 use super::Upstreams;
 use crate::crashes::Record;
-use crate::news::{IncarnationId, LoadUpdate, crashes_news, part_of, placed_news};
-use crate::shares::{Progress, RequestFingerprint, SizeClass};
+use crate::large_prompts::{Progress, RequestFingerprint, SizeClass};
+use crate::load_update::{IncarnationId, LoadUpdate, crashes_news, part_of, placed_news};
 use crate::state::{OWN, State};
 use crate::work::{Work, WorkId};
 
--- a/crates/engines/tests/engines/main.rs
+++ b/crates/engines/tests/engines/main.rs
@@ -2,6 +2,6 @@
 
 mod choice;
 mod crashes;
-mod figures;
+mod profile;
 mod support;
 mod view;
--- a/crates/engines/tests/engines/support.rs
+++ b/crates/engines/tests/engines/support.rs
@@ -10,7 +10,7 @@
 use mangofront_engines::{ChoiceOptions, Demand, LoadUpdate, NoUpstream, Placement, Upstreams};
 use mangofront_routes::Upstream;
 
-use crate::figures::figures;
+use crate::profile::figures;
 
 pub const SERVICE: &str = "assist-llm";
 
--- a/crates/engines/tests/load/fleet.rs
+++ b/crates/engines/tests/load/fleet.rs
@@ -13,7 +13,7 @@
 use mangofront_routes::{EngineProfile, Upstream};
 
 use crate::engine::{Engine, Id, Job};
-use crate::figures::figures;
+use crate::profile::figures;
 
 const SERVICE: &str = "model";
 const ZONES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
--- a/crates/engines/tests/load/main.rs
+++ b/crates/engines/tests/load/main.rs
@@ -5,10 +5,10 @@
 //! 133,000 in 1.9 s, a pass takes 44 ms and more) and the targets of the routes.
 
 mod engine;
-#[path = "../engines/figures.rs"]
-mod figures;
 mod fleet;
+mod mixed_targets;
 mod patterns;
+#[path = "../engines/profile.rs"]
+mod profile;
 mod sizes;
-mod time_to_spare;
-mod worth;
+mod value;
--- a/crates/engines/tests/load/time_to_spare.rs
+++ b/crates/engines/tests/load/mixed_targets.rs
@@ -17,7 +17,7 @@
 use mangofront_routes::EngineProfile;
 
 use crate::fleet::{Fleet, Kind, Outcome};
-use crate::worth::{Worth, earned_percent};
+use crate::value::{Worth, earned_percent};
 
 const SHORT: Kind = Kind {
     name: "short",
--- a/crates/engines/tests/load/patterns.rs
+++ b/crates/engines/tests/load/patterns.rs
@@ -12,7 +12,7 @@
 use mangofront_engines::ChoiceOptions;
 
 use crate::fleet::{Fleet, Kind};
-use crate::worth::{Worth, earned_percent};
+use crate::value::{Worth, earned_percent};
 
 const SHORT: Kind = Kind {
     name: "short",
--- a/crates/engines/tests/load/sizes.rs
+++ b/crates/engines/tests/load/sizes.rs
@@ -7,8 +7,8 @@
 use mangofront_engines::ChoiceOptions;
 use mangofront_routes::EngineProfile;
 
-use crate::figures::figures;
 use crate::fleet::{Fleet, Kind, Sent};
+use crate::profile::figures;
 
 const SHORT: Kind = Kind {
     name: "short",
