--- a/crates/engines/examples/choice_cost.rs
+++ b/crates/engines/examples/choice_cost.rs
@@ -1,5 +1,5 @@
-//! Prints what a choice costs before 18, 78 and 195 engines that answer three requests
-//! each in the mean, placed by another daemon.
+//! Prints the time per placement for 18, 78 and 195 engines, each of which answers three requests
+//! on average that another daemon placed.
 //!
 //! Run with `cargo run --release -p mangofront-engines --example choice_cost`.
 
@@ -15,18 +15,18 @@
 
 const SERVICE: &str = "assist-llm";
 
-/// Choices that are timed together.
+/// Placements per timed run.
 const ROUNDS: u32 = 2_000;
 
 /// Requests that each engine answers.
 const REQUESTS_PER_ENGINE: u16 = 3;
 
-/// The daemon that placed them.
+/// Incarnation id of the daemon that placed them.
 const OTHER: u64 = 2;
 
 fn main() -> Result<(), Box<dyn Error>> {
     for engines in [18, 78, 195] {
-        let (upstreams, _answered) = busy_fleet(engines)?;
+        let (upstreams, _placements) = busy_fleet(engines)?;
         for (name, prompt_tokens, target_ms) in [
             ("5,000 tokens", 5_000, 300),
             ("45,000 tokens", 45_000, 1_500),
@@ -36,37 +36,37 @@
             let mut sent = 0;
             let start = Instant::now();
             for _ in 0..ROUNDS {
-                // What is placed ends at once, so that each choice finds the same load.
+                // Each placement is dropped at once, so that all of them see the same load.
                 sent += u32::from(upstreams.place(SERVICE, &demand, &[]).is_ok());
             }
             let each = start.elapsed() / ROUNDS;
-            println!("{engines} engines, {name}: {each:?} a choice, {sent} of {ROUNDS} sent");
+            println!("{engines} engines, {name}: {each:?} per choice, {sent} of {ROUNDS} sent");
         }
     }
     Ok(())
 }
 
-/// A daemon that has heard of what another one has the engines answer, and that other one's
-/// requests.
+/// A daemon that received the updates of another one whose requests occupy the engines, and the
+/// placements of that other daemon.
 fn busy_fleet(engines: u16) -> Result<(Upstreams, Vec<Placement>), NoUpstream> {
-    let speed = HashMap::from([(SERVICE.to_owned(), Rc::new(figures()))]);
-    let (tell, mut news) = unbounded();
-    let (tell_nobody, _) = unbounded();
-    let [other, upstreams] = [(2, tell), (1, tell_nobody)].map(|(salt, tell)| {
-        let daemon = Upstreams::new(ChoiceOptions::default(), "hall-a".to_owned(), salt, tell);
-        daemon.set_published((0..engines).map(engine), &speed);
+    let profiles = HashMap::from([(SERVICE.to_owned(), Rc::new(engine_profile()))]);
+    let (sender, mut updates) = unbounded();
+    let (ignored, _) = unbounded();
+    let [other, upstreams] = [(2, sender), (1, ignored)].map(|(salt, sender)| {
+        let daemon = Upstreams::new(ChoiceOptions::default(), "hall-a".to_owned(), salt, sender);
+        daemon.set_published((0..engines).map(engine), &profiles);
         daemon
     });
-    let mut answered = Vec::new();
+    let mut placements = Vec::new();
     for _ in 0..engines * REQUESTS_PER_ENGINE {
         let mut placed = other.place(SERVICE, &demand(5_000, 300), &[])?;
         placed.record_first_event();
-        answered.push(placed);
+        placements.push(placed);
     }
-    while let Ok(told) = news.try_recv() {
-        upstreams.apply_update(OTHER, told);
+    while let Ok(update) = updates.try_recv() {
+        upstreams.apply_update(OTHER, update);
     }
-    Ok((upstreams, answered))
+    Ok((upstreams, placements))
 }
 
 fn engine(number: u16) -> Upstream {
@@ -82,7 +82,7 @@
     }
 }
 
-fn figures() -> EngineProfile {
+fn engine_profile() -> EngineProfile {
     EngineProfile {
         slots: 12,
         memory_tokens: 382_500,
--- a/crates/engines/examples/embed.rs
+++ b/crates/engines/examples/embed.rs
@@ -1,6 +1,7 @@
-//! Choosing engines, embedding nothing but this crate and its types.
+//! Chooses engines using only this crate and its types.
 //!
-//! Two daemons in one process: what one places, the other hears of and avoids.
+//! Runs two daemons in one process: each avoids the engines that are busy with the other's
+//! requests.
 
 use std::collections::{HashMap, HashSet};
 use std::error::Error;
@@ -15,29 +16,24 @@
 const SERVICE: &str = "assist-llm";
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let (tell, mut news) = unbounded();
-    let (tell_nobody, _) = unbounded();
-    let one = Upstreams::new(ChoiceOptions::default(), "hall-a".to_owned(), 1, tell);
-    let other = Upstreams::new(
-        ChoiceOptions::default(),
-        "hall-b".to_owned(),
-        2,
-        tell_nobody,
-    );
-    let speed = HashMap::from([(SERVICE.to_owned(), Rc::new(figures()))]);
+    let (sender, mut updates) = unbounded();
+    let (ignored, _) = unbounded();
+    let one = Upstreams::new(ChoiceOptions::default(), "hall-a".to_owned(), 1, sender);
+    let other = Upstreams::new(ChoiceOptions::default(), "hall-b".to_owned(), 2, ignored);
+    let profiles = HashMap::from([(SERVICE.to_owned(), Rc::new(engine_profile()))]);
     for daemon in [&one, &other] {
-        daemon.set_published((0..8).map(engine), &speed);
+        daemon.set_published((0..8).map(engine), &profiles);
     }
-    let question = one.place(SERVICE, &demand(5_000, 300), &[])?;
-    let review = one.place(SERVICE, &demand(150_000, 2_500), &[])?;
+    let short = one.place(SERVICE, &demand(5_000, 300), &[])?;
+    let long = one.place(SERVICE, &demand(150_000, 2_500), &[])?;
     println!(
-        "a question goes to {}, a review to {} engines, first event in {:?}",
-        question.answering().id,
-        review.shares.len(),
-        review.expected_first_event
+        "a short prompt goes to {}, a long one to {} engines, first event in {:?}",
+        short.answering().id,
+        long.shares.len(),
+        long.expected_first_event
     );
-    while let Ok(told) = news.try_recv() {
-        other.apply_update(1, told);
+    while let Ok(update) = updates.try_recv() {
+        other.apply_update(1, update);
     }
     let busy = other
         .status()
@@ -45,16 +41,16 @@
         .filter(|one| one.backlog_ms > 0.0)
         .count();
     println!("the other daemon knows of {busy} busy engines");
-    drop((question, review));
-    while let Ok(told) = news.try_recv() {
-        other.apply_update(1, told);
+    drop((short, long));
+    while let Ok(update) = updates.try_recv() {
+        other.apply_update(1, update);
     }
     let busy = other
         .status()
         .iter()
         .filter(|one| one.answering > 0)
         .count();
-    println!("and of {busy} once all has ended");
+    println!("and of {busy} after all requests have ended");
     Ok(())
 }
 
@@ -71,7 +67,7 @@
     }
 }
 
-fn figures() -> EngineProfile {
+fn engine_profile() -> EngineProfile {
     EngineProfile {
         slots: 16,
         memory_tokens: 232_000,
--- a/crates/engines/src/choose.rs
+++ b/crates/engines/src/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of the upstreams for one request.
+//! Selection of the upstreams for one request.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -9,63 +9,63 @@
 use mangofront_settings::process::ChoiceOptions;
 use thiserror::Error;
 
-use crate::cost::{Weighing, read_after_ms};
-use crate::decision::{Forecast, ServedWithout, Verdict, judge};
+use crate::cost::{CostModel, prefilled_after_ms};
+use crate::decision::{Decision, Forecast, ServedShare, decide};
 use crate::large_prompts::RequestFingerprint;
-use crate::layout::lay_out;
-use crate::upstream_state::{Known, Load};
-use crate::work::Part;
+use crate::layout::assign_memory;
+use crate::upstream_state::{Load, UpstreamState};
+use crate::work::ShareLoad;
 
-/// What a request needs.
+/// Requirements of a request.
 #[derive(Debug, Clone)]
 pub struct Demand {
-    /// Tokens of the prompt; 0 for a request of a plain service.
+    /// Length of the prompt; 0 for a request of a plain service.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Maximum length of the answer.
     pub answer_limit_tokens: u64,
-    /// Longest pause between events of an answer in time.
+    /// Longest gap between events for the answer to count as on time.
     pub gap: Duration,
-    /// Time to the first event that is aimed at.
+    /// Target for the time to first event.
     pub target: Duration,
-    /// Time since the request came.
+    /// Time since the request arrived.
     pub elapsed: Duration,
-    /// Time for which the request has waited for engines with less to do.
+    /// Time for which the request has been held for less loaded engines.
     pub waited: Duration,
-    /// Time after which the request has ended for certain.
+    /// Time after which the request has certainly ended.
     pub time_left: Duration,
-    /// Names the request over all the times that its caller sends it.
+    /// Identifies the request across all retries of its caller.
     pub request: RequestFingerprint,
-    /// Whether it may be refused: nothing of it was sent yet, which has cost engines.
+    /// Whether it may be refused: nothing was sent yet, so no engine has spent work on it.
     pub is_refusable: bool,
-    /// Addresses to which a connection is open that the request can take.
+    /// Addresses with an open connection that the request can use.
     pub connected: HashSet<SocketAddr>,
 }
 
-/// Why no upstream was chosen.
+/// Reason why no upstream was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum NoUpstream {
-    /// None is known that is not leaving.
+    /// Every known upstream is leaving, or there is none.
     #[error("no upstream of the service is known")]
     NoneKnown,
-    /// Every one was tried or has failed lately.
+    /// Every upstream was tried already, or failed recently.
     #[error("every upstream of the service was tried already")]
     AllTried,
-    /// Engines have too much to do for a prompt of this length; ask again soon.
+    /// The engines are too busy for a prompt of this length; retry soon.
     #[error("the engines are busy")]
     Busy,
-    /// A prompt of this length can't be in time any more and would hold up many others.
+    /// A prompt of this length can no longer be on time and would delay many others.
     #[error("the engines are overrun")]
     Overrun,
-    /// No engine can take one more request for now.
+    /// No engine can accept another request at present.
     #[error("every slot of the engines is taken")]
     Full,
-    /// The prompt does not fit into the memory of all engines.
+    /// The prompt exceeds the memory of all engines together.
     #[error("the prompt is larger than the engines' memory")]
     TooLarge,
 }
 
 impl NoUpstream {
-    /// Stable code, for metrics, logs and callers.
+    /// Stable code for metrics, logs and callers.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -79,33 +79,33 @@
     }
 }
 
-/// One upstream's share in a request.
+/// One upstream's share of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Share {
     /// The upstream.
     pub upstream: Upstream,
-    /// Memory to be reserved there, in tokens; none where the request needs no reservation.
+    /// Memory to reserve there, in tokens; `None` where no reservation is needed.
     pub reserve_tokens: Option<u64>,
 }
 
 /// An upstream that may be chosen, with its load.
 #[derive(Debug)]
 pub(crate) struct Candidate<'a> {
-    pub(crate) known: &'a Known,
+    pub(crate) upstream: &'a UpstreamState,
     pub(crate) load: Load,
-    /// Place in the order that all daemons share.
+    /// Position in the order that all daemons share.
     pub(crate) rank: usize,
-    /// Whether a connection to it is open that the request can take.
+    /// Whether there is an open connection to it that the request can use.
     pub(crate) is_connected: bool,
 }
 
 impl Candidate<'_> {
-    /// Whether a further request would find a slot, or one of the few places to wait.
+    /// Whether a further request would find a slot, or one of the few queue places.
     pub(crate) fn has_slot(&self, options: &ChoiceOptions) -> bool {
-        self.load.running() < self.known.slots() + options.queued_requests
+        self.load.running() < self.upstream.slots() + options.queued_requests
     }
 
-    /// What it costs to have it answer beyond the time of its work, in milliseconds.
+    /// Cost of connecting to it, in milliseconds.
     pub(crate) fn connect_cost_ms(&self, options: &ChoiceOptions) -> f64 {
         match self.is_connected {
             true => 0.0,
@@ -114,36 +114,37 @@
     }
 }
 
-/// The choice for one request.
+/// The upstreams chosen for one request.
 #[derive(Debug)]
 pub(crate) struct Choice {
     pub(crate) shares: Vec<Share>,
-    pub(crate) parts: Vec<Part>,
+    pub(crate) loads: Vec<ShareLoad>,
     pub(crate) first_event_ms: f64,
-    /// Longest queue before the chosen upstreams, in milliseconds.
+    /// Longest queue at the chosen upstreams, in milliseconds.
     pub(crate) queue_ms: f64,
 }
 
-/// What besides the upstreams and the request decides.
+/// Inputs to the choice besides the upstreams and the request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Circumstances<'a> {
+pub(crate) struct ChoiceContext<'a> {
     /// Availability zone of this daemon.
     pub(crate) availability_zone: &'a str,
-    /// Shortest pause that any request so far allowed.
+    /// Shortest gap that any request so far allowed.
     pub(crate) shortest_gap: Duration,
-    /// Other daemons that choose at the same time.
+    /// Number of other daemons that place requests concurrently.
     pub(crate) daemons: usize,
-    /// Short prompts that others are expected to have placed unheard.
-    pub(crate) unheard: f64,
-    /// A number that differs from request to request and between daemons.
+    /// Expected number of short prompts that other daemons placed and whose updates have not
+    /// arrived yet.
+    pub(crate) unreported_short_prompts: f64,
+    /// A number that differs between requests and between daemons.
     pub(crate) draw: u64,
-    /// Whether this daemon has just started and may not know of the others' requests.
+    /// Whether this daemon has just started and may not know the requests of the others.
     pub(crate) is_settling: bool,
-    /// How many prompts of the request's size are served without it.
-    pub(crate) served_without: ServedWithout,
+    /// Served share of the request's size class if this request is not served.
+    pub(crate) served_share: ServedShare,
 }
 
-/// Chooses among the upstreams of a plain service: the least loaded one.
+/// Chooses the least loaded upstream of a plain service.
 pub(crate) fn choose_plain(
     candidates: &[Candidate<'_>],
     options: &ChoiceOptions,
@@ -151,22 +152,24 @@
     turn: u64,
 ) -> Option<Choice> {
     let count = candidates.len() as u64;
-    let order = |candidate: &Candidate<'_>| {
-        let slots = candidate.known.slots().max(1);
+    let load_rank = |candidate: &Candidate<'_>| {
+        let slots = candidate.upstream.slots().max(1);
         let share = candidate.load.answering * 1_000 / slots;
-        let is_elsewhere = candidate.known.info.availability_zone != availability_zone;
-        let detour = u32::from(is_elsewhere) * options.other_zone_cost_ms as u32;
-        (share + detour, (candidate.rank as u64 + turn) % count)
+        let is_other_zone = candidate.upstream.registration.availability_zone != availability_zone;
+        let zone_penalty = u32::from(is_other_zone) * options.other_zone_cost_ms as u32;
+        (share + zone_penalty, (candidate.rank as u64 + turn) % count)
     };
-    let best = candidates.iter().min_by_key(|candidate| order(candidate))?;
+    let best = candidates
+        .iter()
+        .min_by_key(|candidate| load_rank(candidate))?;
     Some(Choice {
         shares: vec![Share {
-            upstream: best.known.info.clone(),
+            upstream: best.upstream.registration.clone(),
             reserve_tokens: None,
         }],
-        parts: vec![Part {
-            upstream: best.known.key,
-            read_ms: 0.0,
+        loads: vec![ShareLoad {
+            upstream: best.upstream.key,
+            prefill_ms: 0.0,
             memory_tokens: 0,
             context_tokens: 0,
         }],
@@ -175,59 +178,67 @@
     })
 }
 
-/// Chooses the engine that answers and those that read parts of the prompt.
+/// Chooses the engine that answers and the helpers that prefill shares of the prompt.
 pub(crate) fn choose_engines(
     candidates: &[Candidate<'_>],
-    figures: &Rc<EngineProfile>,
+    profile: &Rc<EngineProfile>,
     demand: &Demand,
     options: &ChoiceOptions,
-    circumstances: Circumstances<'_>,
+    context: ChoiceContext<'_>,
 ) -> Result<Choice, NoUpstream> {
-    if !candidates.iter().any(|one| one.has_slot(options)) {
+    if !candidates
+        .iter()
+        .any(|candidate| candidate.has_slot(options))
+    {
         return Err(NoUpstream::Full);
     }
-    let read_ms = figures.prefill_ms(demand.prompt_tokens);
+    let prefill_ms = profile.prefill_ms(demand.prompt_tokens);
     let has_waited = demand.waited >= demand.target.mul_f64(options.wait_targets);
-    let weighing = Weighing::new(candidates.len(), demand, options, circumstances);
-    let chosen = choose_readers(candidates, &weighing, read_ms, demand, circumstances)?;
-    let part_ms = read_ms / chosen.len().max(1) as f64;
+    let cost_model = CostModel::new(candidates.len(), demand, options, context);
+    let chosen = choose_prefill_engines(candidates, &cost_model, prefill_ms, demand, context)?;
+    let share_ms = prefill_ms / chosen.len().max(1) as f64;
     let mut costs: Vec<(f64, usize)> = (0..candidates.len())
         .filter(|index| !chosen.contains(index))
-        .map(|index| (weighing.cost_ms(&candidates[index], part_ms), index))
+        .map(|index| (cost_model.cost_ms(&candidates[index], share_ms), index))
         .collect();
     costs.sort_by(|one, other| one.0.total_cmp(&other.0));
     let others: Vec<usize> = costs.into_iter().map(|(_, index)| index).collect();
-    match lay_out(
-        candidates, &chosen, &others, figures, demand, options, has_waited,
+    match assign_memory(
+        candidates, &chosen, &others, profile, demand, options, has_waited,
     ) {
         Err(NoUpstream::TooLarge) if !has_waited => Err(NoUpstream::Busy),
-        laid_out => laid_out,
+        result => result,
     }
 }
 
-/// Chooses the engines that read a prompt, or has it wait or refused.
-fn choose_readers(
+/// Chooses the engines that prefill a prompt, or decides to hold or refuse it.
+fn choose_prefill_engines(
     candidates: &[Candidate<'_>],
-    weighing: &Weighing<'_>,
-    read_ms: f64,
+    cost_model: &CostModel<'_>,
+    prefill_ms: f64,
     demand: &Demand,
-    circumstances: Circumstances<'_>,
+    context: ChoiceContext<'_>,
 ) -> Result<Vec<usize>, NoUpstream> {
-    let chosen = weighing.cheapest(candidates, read_ms, circumstances.draw);
-    let part_ms = read_ms / chosen.len().max(1) as f64;
-    let readers = || chosen.iter().map(|index| &candidates[*index]);
-    let placed_ms: f64 = candidates.iter().map(|one| one.load.backlog_ms).sum();
-    let read_after = readers().map(|reader| read_after_ms(reader, part_ms));
+    let chosen = cost_model.cheapest(candidates, prefill_ms, context.draw);
+    let share_ms = prefill_ms / chosen.len().max(1) as f64;
+    let engines = || chosen.iter().map(|index| &candidates[*index]);
+    let placed_ms: f64 = candidates
+        .iter()
+        .map(|candidate| candidate.load.backlog_ms)
+        .sum();
+    let prefilled_after = engines().map(|engine| prefilled_after_ms(engine, share_ms));
     let forecast = Forecast {
-        read_ms,
-        queue_ms: readers().map(|one| one.load.backlog_ms).fold(0.0, f64::max),
-        read_after_ms: read_after.fold(0.0, f64::max),
-        all_read_after_ms: (placed_ms + read_ms) / candidates.len() as f64,
+        prefill_ms,
+        queue_ms: engines()
+            .map(|candidate| candidate.load.backlog_ms)
+            .fold(0.0, f64::max),
+        prefilled_after_ms: prefilled_after.fold(0.0, f64::max),
+        all_prefilled_after_ms: (placed_ms + prefill_ms) / candidates.len() as f64,
     };
-    let options = weighing.options();
-    match judge(forecast, demand, circumstances.served_without, options) {
-        Verdict::Send => Ok(chosen),
-        Verdict::Hold => Err(NoUpstream::Busy),
-        Verdict::Refuse => Err(NoUpstream::Overrun),
+    let options = cost_model.options();
+    match decide(forecast, demand, context.served_share, options) {
+        Decision::Send => Ok(chosen),
+        Decision::Hold => Err(NoUpstream::Busy),
+        Decision::Refuse => Err(NoUpstream::Overrun),
     }
 }
--- a/crates/engines/src/cost.rs
+++ b/crates/engines/src/cost.rs
@@ -1,57 +1,58 @@
-//! What it costs to have an engine read a prompt or a part of it.
+//! Cost of prefilling a prompt, or a share of it, on an engine.
 //!
-//! Costs are in milliseconds of a request's first event: the time until it comes, and
-//! what the reading does to the answers that the engine writes.
+//! Costs are in milliseconds of time to first event: the time until the share is prefilled, plus a
+//! penalty for the delay that the prefill causes to the answers being decoded there.
 
 use std::cmp::Ordering;
 
 use mangofront_settings::process::ChoiceOptions;
 
-use crate::choose::{Candidate, Circumstances, Demand};
+use crate::choose::{Candidate, ChoiceContext, Demand};
 
-/// Most that an engine may cost beyond the cheapest to be taken for the sake of
-/// spreading, in milliseconds: about what three more short prompts cost that meet there.
-const SPREAD_LIMIT_MS: f64 = 100.0;
+/// Largest cost above the cheapest engine's at which an engine is still eligible for spreading, in
+/// milliseconds: about the cost of three more short prompts on the same engine.
+const MAX_SPREAD_COST_MS: f64 = 100.0;
 
-/// What is the same for all candidates.
+/// Cost parameters common to all candidates.
 #[derive(Clone, Copy)]
-pub(crate) struct Weighing<'a> {
+pub(crate) struct CostModel<'a> {
     options: &'a ChoiceOptions,
     availability_zone: &'a str,
     count: usize,
-    /// Whether the answer allows only pauses about as short as any.
-    is_brisk: bool,
-    /// Longest pause that the request's own answer allows, in milliseconds.
+    /// Whether the allowed gap is close to the shortest of any request.
+    has_short_gap: bool,
+    /// Longest gap that the request's own answer allows, in milliseconds.
     gap_ms: f64,
-    /// Cost of each answer whose pause would get too long, in milliseconds.
+    /// Cost of each answer whose gap limit would be exceeded, in milliseconds.
     broken_gap_cost_ms: f64,
-    /// Share in which other daemons' unknown requests count.
+    /// Weight of other daemons' requests that are not known here.
     crowd_share: f64,
-    /// Difference in cost up to which engines count as equal, in milliseconds.
+    /// Cost difference up to which engines count as equal, in milliseconds.
     tie_ms: f64,
-    /// Engines among which one is drawn, as others may take any of them meanwhile.
-    spread: usize,
+    /// Number of engines to pick among, as other daemons may choose any of them concurrently.
+    spread_engines: usize,
 }
 
-impl<'a> Weighing<'a> {
-    /// Weighs for one request among `count` candidates.
+impl<'a> CostModel<'a> {
+    /// Cost model of one request with `count` candidates.
     pub(crate) fn new(
         count: usize,
         demand: &Demand,
         options: &'a ChoiceOptions,
-        circumstances: Circumstances<'a>,
+        context: ChoiceContext<'a>,
     ) -> Self {
-        let crowd_share = options.crowd_share(circumstances.daemons);
+        let crowd_share = options.crowd_share(context.daemons);
         Self {
             options,
-            availability_zone: circumstances.availability_zone,
+            availability_zone: context.availability_zone,
             count,
-            is_brisk: demand.gap <= circumstances.shortest_gap.mul_f64(options.brisk_factor),
+            has_short_gap: demand.gap <= context.shortest_gap.mul_f64(options.brisk_factor),
             gap_ms: demand.gap.as_secs_f64() * 1_000.0,
             broken_gap_cost_ms: options.broken_gap_cost_ms(demand.target),
             crowd_share,
-            spread: 1 + (options.unheard_spread * circumstances.unheard) as usize,
-            tie_ms: match circumstances.is_settling {
+            spread_engines: 1
+                + (options.unheard_spread * context.unreported_short_prompts) as usize,
+            tie_ms: match context.is_settling {
                 true => options.settling_tie_ms,
                 false => options.tie_ms * crowd_share,
             },
@@ -62,31 +63,31 @@
         self.options
     }
 
-    /// The engines that together have read a prompt first, at least cost.
+    /// The set of engines that prefills a prompt at the lowest cost.
     ///
-    /// There is always one: `candidates` is not empty.
+    /// It is never empty, as `candidates` is not.
     pub(crate) fn cheapest(
         &self,
         candidates: &[Candidate<'_>],
-        read_ms: f64,
+        prefill_ms: f64,
         draw: u64,
     ) -> Vec<usize> {
-        if read_ms <= self.options.unsplit_read_ms {
-            return self.any_of_cheapest(candidates, read_ms, draw);
+        if prefill_ms <= self.options.unsplit_read_ms {
+            return self.pick_among_cheapest(candidates, prefill_ms, draw);
         }
-        let most = candidates.len().min(self.options.helpers_limit + 1);
+        let max_engines = candidates.len().min(self.options.helpers_limit + 1);
         let mut best = (f64::INFINITY, Vec::new());
-        for count in 1..=most {
-            let part_ms = read_ms / count as f64;
+        for count in 1..=max_engines {
+            let share_ms = prefill_ms / count as f64;
             let mut costs: Vec<(f64, usize)> = candidates
                 .iter()
                 .enumerate()
-                .map(|(index, candidate)| (self.cost_ms(candidate, part_ms), index))
+                .map(|(index, candidate)| (self.cost_ms(candidate, share_ms), index))
                 .collect();
-            // Only the cheapest few of hundreds have to be in order.
-            costs.select_nth_unstable_by(count - 1, |one, other| cheaper(*one, *other));
+            // Only the cheapest `count` of hundreds need sorting.
+            costs.select_nth_unstable_by(count - 1, |one, other| by_cost_then_index(*one, *other));
             costs.truncate(count);
-            costs.sort_by(|one, other| cheaper(*one, *other));
+            costs.sort_by(|one, other| by_cost_then_index(*one, *other));
             let slowest_ms = costs.last().map_or(0.0, |(cost_ms, _)| *cost_ms);
             let total_ms = slowest_ms + self.options.helper_cost_ms * count as f64;
             if total_ms < best.0 {
@@ -99,19 +100,24 @@
         best.1
     }
 
-    /// One of the engines that cost about as little as the cheapest.
+    /// One of the engines whose cost is close to the lowest.
     ///
-    /// Daemons hear of each other's requests only after some milliseconds; if all
-    /// took the cheapest, several would meet there.
-    fn any_of_cheapest(&self, candidates: &[Candidate<'_>], read_ms: f64, draw: u64) -> Vec<usize> {
+    /// Daemons learn of each other's requests with a delay of some milliseconds; if all chose the
+    /// cheapest engine, several requests would meet there.
+    fn pick_among_cheapest(
+        &self,
+        candidates: &[Candidate<'_>],
+        prefill_ms: f64,
+        draw: u64,
+    ) -> Vec<usize> {
         let cost_ms = |candidate: &Candidate<'_>| match candidate.has_slot(self.options) {
-            true => self.cost_ms(candidate, read_ms) + candidate.connect_cost_ms(self.options),
+            true => self.cost_ms(candidate, prefill_ms) + candidate.connect_cost_ms(self.options),
             false => f64::INFINITY,
         };
         let costs: Vec<f64> = candidates.iter().map(cost_ms).collect();
-        let least_ms = costs.iter().copied().fold(f64::INFINITY, f64::min);
-        let limit_ms = self.tie_ms.max(self.spread_ms(&costs, least_ms));
-        let is_cheap = |cost_ms: f64| cost_ms <= least_ms + limit_ms;
+        let lowest_ms = costs.iter().copied().fold(f64::INFINITY, f64::min);
+        let limit_ms = self.tie_ms.max(self.spread_ms(&costs, lowest_ms));
+        let is_cheap = |cost_ms: f64| cost_ms <= lowest_ms + limit_ms;
         let cheap: Vec<usize> = (0..costs.len())
             .filter(|index| is_cheap(costs[*index]))
             .collect();
@@ -119,89 +125,91 @@
         cheap.get(chosen).copied().into_iter().collect()
     }
 
-    /// Difference in cost up to which there are as many engines as requests should
-    /// spread over, in milliseconds.
-    fn spread_ms(&self, costs: &[f64], least_ms: f64) -> f64 {
+    /// Cost difference within which there are `spread_engines` engines, in milliseconds.
+    fn spread_ms(&self, costs: &[f64], lowest_ms: f64) -> f64 {
         let mut sorted = costs.to_vec();
         sorted.sort_by(f64::total_cmp);
-        let last = self.spread.min(sorted.len()).saturating_sub(1);
-        let costliest_ms = sorted.get(last).copied().unwrap_or(least_ms);
-        (costliest_ms - least_ms).min(SPREAD_LIMIT_MS)
+        let last = self.spread_engines.min(sorted.len()).saturating_sub(1);
+        let highest_ms = sorted.get(last).copied().unwrap_or(lowest_ms);
+        (highest_ms - lowest_ms).min(MAX_SPREAD_COST_MS)
     }
 
-    /// Answers of a candidate whose pause gets too long because it reads a part.
+    /// Number of a candidate's answers whose gap limit is exceeded because of this share.
     ///
-    /// Those that are lost already, by what it has to read without the part, don't
-    /// count: passing such an engine over sent short prompts to others that had no
-    /// slot left.
-    fn broken_answers(&self, candidate: &Candidate<'_>, part_ms: f64) -> f64 {
+    /// Answers that exceed it even without the share don't count: counting them made the choice
+    /// avoid such engines and send short prompts to engines that had no free slot.
+    fn added_gap_violations(&self, candidate: &Candidate<'_>, share_ms: f64) -> f64 {
         let load = &candidate.load;
-        let Some(gap_ms) = load.least_gap_ms else {
+        let Some(gap_ms) = load.shortest_gap_ms else {
             return 0.0;
         };
-        let pass_ms = pass_ms(candidate, load.writers, load.context_tokens);
+        let pass_ms = pass_ms(candidate, load.decoding, load.context_tokens);
         let without_ms = pass_ms + load.backlog_ms;
-        let share = |pause_ms: f64| self.broken_share(pause_ms / gap_ms.max(1.0));
-        (share(without_ms + part_ms) - share(without_ms)) * f64::from(load.answering)
+        let violations =
+            |next_pass_ms: f64| self.gap_violation_share(next_pass_ms / gap_ms.max(1.0));
+        (violations(without_ms + share_ms) - violations(without_ms)) * f64::from(load.answering)
     }
 
-    /// Time until a part is read here, with what it does to others, in milliseconds.
-    pub(crate) fn cost_ms(&self, candidate: &Candidate<'_>, part_ms: f64) -> f64 {
+    /// Time until a share is prefilled here plus penalties, in milliseconds.
+    pub(crate) fn cost_ms(&self, candidate: &Candidate<'_>, share_ms: f64) -> f64 {
         let load = &candidate.load;
-        let mut cost_ms = read_after_ms(candidate, part_ms);
-        cost_ms += self.broken_gap_cost_ms * self.broken_answers(candidate, part_ms);
-        if self.is_brisk && load.least_gap_ms.is_none_or(|gap_ms| gap_ms > self.gap_ms) {
+        let mut cost_ms = prefilled_after_ms(candidate, share_ms);
+        cost_ms += self.broken_gap_cost_ms * self.added_gap_violations(candidate, share_ms);
+        if self.has_short_gap
+            && load
+                .shortest_gap_ms
+                .is_none_or(|gap_ms| gap_ms > self.gap_ms)
+        {
             cost_ms += self.options.opening_cost_ms;
         }
-        let place = if self.is_brisk {
+        let position = if self.has_short_gap {
             candidate.rank
         } else {
             self.count - 1 - candidate.rank
         };
         let last = self.count.saturating_sub(1).max(1);
         let rank_cost_ms = self.options.order_limit_ms / last as f64;
-        cost_ms += rank_cost_ms.min(self.options.rank_cost_ms) * place as f64;
-        if candidate.known.info.availability_zone != self.availability_zone {
+        cost_ms += rank_cost_ms.min(self.options.rank_cost_ms) * position as f64;
+        if candidate.upstream.registration.availability_zone != self.availability_zone {
             cost_ms += self.options.other_zone_cost_ms;
         }
-        let slots = candidate.known.slots();
+        let slots = candidate.upstream.slots();
         if load.running() >= slots {
             cost_ms += self.options.full_cost_ms;
         }
-        if self.is_brisk {
-            let roomy = f64::from(slots) * self.options.roomy_share;
-            let crowding = (f64::from(load.running() + 1) - roomy).max(0.0);
+        if self.has_short_gap {
+            let roomy_slots = f64::from(slots) * self.options.roomy_share;
+            let crowding = (f64::from(load.running() + 1) - roomy_slots).max(0.0);
             cost_ms += self.options.crowding_cost_ms * self.crowd_share * crowding;
         }
         cost_ms
     }
 
-    /// Share of the answers whose pause gets too long, when the next pass is
-    /// predicted to take this share of the pause.
+    /// Expected share of answers that exceed their gap limit if the next pass is predicted to take
+    /// `gap_usage` of it.
     ///
-    /// Grows with the square from the one bound to the other, as more parts may
-    /// come into the same pass.
-    fn broken_share(&self, pause_share: f64) -> f64 {
+    /// Grows quadratically between the two bounds, as further prefills may join the same pass.
+    fn gap_violation_share(&self, gap_usage: f64) -> f64 {
         let (safe, broken) = (self.options.safe_gap_share, self.options.broken_gap_share);
-        let share = (pause_share - safe) / (broken - safe);
+        let share = (gap_usage - safe) / (broken - safe);
         share.clamp(0.0, 1.0).powi(2)
     }
 }
 
-/// Order by cost; the one that comes first goes before another that costs the same.
-fn cheaper(one: (f64, usize), other: (f64, usize)) -> Ordering {
+/// Orders by cost, then by index.
+fn by_cost_then_index(one: (f64, usize), other: (f64, usize)) -> Ordering {
     one.0.total_cmp(&other.0).then(one.1.cmp(&other.1))
 }
 
-/// Time until a part is read by a candidate, in milliseconds.
-pub(crate) fn read_after_ms(candidate: &Candidate<'_>, part_ms: f64) -> f64 {
+/// Time until a candidate has prefilled a share, in milliseconds.
+pub(crate) fn prefilled_after_ms(candidate: &Candidate<'_>, share_ms: f64) -> f64 {
     let load = &candidate.load;
-    let pass_ms = pass_ms(candidate, load.writers, load.context_tokens);
-    pass_ms / 2.0 + load.backlog_ms + part_ms
+    let pass_ms = pass_ms(candidate, load.decoding, load.context_tokens);
+    pass_ms / 2.0 + load.backlog_ms + share_ms
 }
 
-/// Time of one pass of a candidate's engine, in milliseconds.
-pub(crate) fn pass_ms(candidate: &Candidate<'_>, writers: u32, context_tokens: u64) -> f64 {
-    let figures = candidate.known.figures.as_ref();
-    figures.map_or(0.0, |figures| figures.pass_ms(writers, context_tokens))
+/// Duration of one forward pass of a candidate's engine, in milliseconds.
+pub(crate) fn pass_ms(candidate: &Candidate<'_>, decoding: u32, context_tokens: u64) -> f64 {
+    let profile = candidate.upstream.profile.as_ref();
+    profile.map_or(0.0, |profile| profile.pass_ms(decoding, context_tokens))
 }
--- a/crates/engines/src/decision.rs
+++ b/crates/engines/src/decision.rs
@@ -1,96 +1,95 @@
-//! Whether a prompt is sent now, held back, or refused.
+//! Decides whether a prompt is sent now, held, or refused.
 //!
-//! One place decides it, from a forecast of the engines that were chosen. Prompts that
-//! take long are held back until engines have little else to do, so that shorter ones,
-//! of which more are in time for the same work, come first. A prompt is held as long as
-//! it can still be in time afterwards: a queue that is too long now may be read within
-//! the time that the target leaves, and a caller who is refused and comes back is late
-//! for certain. Once it can't be in time, one of the largest is refused, as it would hold
-//! up many others for an answer of little use; the rest is read late, when engines have
-//! time. The largest are refused at their arrival only if engines have so much to read
-//! already that holding on is known to be in vain.
+//! The decision is based on a forecast for the chosen engines. Long prompts are held until the
+//! engines are nearly idle, so that shorter ones go first, of which more are on time for the same
+//! work. A prompt is held as long as it can still be on time afterwards: the queue may drain within
+//! its target, while a caller that is refused and retries is certainly late. Once it can't be on
+//! time, one of the largest prompts is refused, as it would delay many others for an answer of
+//! little use; any other is prefilled late, when the engines have time. The largest prompts are
+//! refused on arrival only if the engines' backlog is so long that holding them is known to be
+//! futile.
 //!
-//! How many of each size may be refused is steered by what became of the others of it
-//! ([`crate::large_prompts`]). A size that was served too seldom is not refused, and is sent
-//! while there is time to answer it rather than held for a shorter queue.
+//! The outcomes of other prompts in the same size class limit how many are refused
+//! ([`crate::large_prompts`]). If too few of a class were served, its prompts are not refused, and
+//! are sent while there is time to answer them rather than held for a shorter queue.
 
 use mangofront_settings::process::ChoiceOptions;
 
 use crate::choose::Demand;
 
-/// What is expected of a prompt that joins the chosen engines now.
+/// Forecast for a prompt that joins the queues of the chosen engines now.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Forecast {
-    /// Time to read the whole prompt on one engine, in milliseconds.
-    pub(crate) read_ms: f64,
-    /// Longest queue before the chosen engines, in milliseconds.
+    /// Time to prefill the whole prompt on one engine, in milliseconds.
+    pub(crate) prefill_ms: f64,
+    /// Longest queue at the chosen engines, in milliseconds.
     pub(crate) queue_ms: f64,
-    /// Time until the last part is read, in milliseconds.
-    pub(crate) read_after_ms: f64,
-    /// Time in which all engines of the service would have read everything that was
-    /// placed and this prompt, if they shared it evenly, in milliseconds.
-    pub(crate) all_read_after_ms: f64,
+    /// Time until the last share is prefilled, in milliseconds.
+    pub(crate) prefilled_after_ms: f64,
+    /// Time in which the engines of the service would have prefilled everything placed so far and
+    /// this prompt, if the work were spread evenly, in milliseconds.
+    pub(crate) all_prefilled_after_ms: f64,
 }
 
-/// What becomes of a prompt.
+/// What to do with a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// It joins the engines' queues.
+pub(crate) enum Decision {
+    /// Add it to the engines' queues.
     Send,
-    /// It waits for shorter queues.
+    /// Wait for shorter queues.
     Hold,
-    /// It is refused, as it can't be in time.
+    /// Refuse it, as it can't be on time.
     Refuse,
 }
 
-/// How many of a prompt's size are served without it.
+/// Served share of a prompt's size class if this prompt is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum ServedWithout {
-    /// As many as are to be served, so that it may be refused.
-    Enough,
-    /// Fewer than that, and as many as are promised.
-    AsPromised,
-    /// Fewer than are promised.
-    TooFew,
-    /// It is none of the largest, and never refused for its size.
+pub(crate) enum ServedShare {
+    /// The target share is met, so the prompt may be refused.
+    TargetMet,
+    /// Below the target share, but the promised share is met.
+    PromiseMet,
+    /// Below the promised share.
+    BelowPromise,
+    /// Not one of the largest prompts, so never refused for its size.
     NotCounted,
 }
 
-/// Decides what becomes of a prompt.
-pub(crate) fn judge(
+/// Decides what to do with a prompt.
+pub(crate) fn decide(
     forecast: Forecast,
     demand: &Demand,
-    served_without: ServedWithout,
+    served_share: ServedShare,
     options: &ChoiceOptions,
-) -> Verdict {
-    let is_split = forecast.read_ms > options.unsplit_read_ms;
-    let joins = forecast.queue_ms * forecast.read_ms <= options.queue_read_ms2;
-    if !is_split || joins {
-        return Verdict::Send;
+) -> Decision {
+    let is_split = forecast.prefill_ms > options.unsplit_read_ms;
+    let is_queue_short = forecast.queue_ms * forecast.prefill_ms <= options.queue_read_ms2;
+    if !is_split || is_queue_short {
+        return Decision::Send;
     }
-    let may_refuse = served_without == ServedWithout::Enough && demand.is_refusable;
-    let is_overrun = forecast.all_read_after_ms > options.overrun_ms;
+    let may_refuse = served_share == ServedShare::TargetMet && demand.is_refusable;
+    let is_overrun = forecast.all_prefilled_after_ms > options.overrun_ms;
     if may_refuse && is_overrun && demand.waited.is_zero() {
-        return Verdict::Refuse;
+        return Decision::Refuse;
     }
     let target_ms = demand.target.as_secs_f64() * 1_000.0;
     let elapsed_ms = demand.elapsed.as_secs_f64() * 1_000.0;
-    let in_time_ms = target_ms * options.in_time_targets;
-    if elapsed_ms + forecast.read_after_ms < in_time_ms {
-        return Verdict::Hold;
+    let on_time_ms = target_ms * options.in_time_targets;
+    if elapsed_ms + forecast.prefilled_after_ms < on_time_ms {
+        return Decision::Hold;
     }
     if may_refuse {
-        return Verdict::Refuse;
+        return Decision::Refuse;
     }
-    // Held on, it might be sent too late to be answered before its caller leaves.
-    if served_without == ServedWithout::TooFew {
-        return Verdict::Send;
+    // If it were held, it might be sent too late to be answered before its caller leaves.
+    if served_share == ServedShare::BelowPromise {
+        return Decision::Send;
     }
-    // One that comes back has less time left than a late one may wait.
+    // A caller that retries has less time left than a late prompt may be held for.
     let time_left_ms = demand.time_left.as_secs_f64() * 1_000.0;
-    let has_time = time_left_ms > forecast.read_after_ms + target_ms;
+    let has_time = time_left_ms > forecast.prefilled_after_ms + target_ms;
     match has_time && elapsed_ms < target_ms * options.late_targets {
-        true => Verdict::Hold,
-        false => Verdict::Send,
+        true => Decision::Hold,
+        false => Decision::Send,
     }
 }
--- a/crates/engines/src/health.rs
+++ b/crates/engines/src/health.rs
@@ -1,20 +1,20 @@
-//! Which upstreams failed lately.
+//! Recent failures of upstreams, and their ejection.
 
 use std::time::{Duration, Instant};
 
 use mangofront_settings::process::ChoiceOptions;
 
-/// Failures in a row after which the time left out grows no more.
-const GROWTH_LIMIT: u32 = 5;
+/// Consecutive failures after which the ejection time no longer doubles.
+const MAX_DOUBLINGS: u32 = 5;
 
 /// How an upstream failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection, or one that broke: probably dead or cut off.
+    /// No connection, or a broken one: probably dead or partitioned.
     Unreachable,
-    /// No answer for longer than it should take.
+    /// No answer within the expected time.
     Silent,
-    /// It refused although it should have had room.
+    /// It refused the request although it should have had a free slot.
     Full,
 }
 
@@ -30,28 +30,28 @@
     }
 }
 
-/// How long a full upstream is left out: a short answer's pass or two.
+/// Ejection time of a full upstream: one or two forward passes of a short answer.
 const FULL_EJECTION: Duration = Duration::from_millis(150);
 
 /// Failures of one upstream.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Health {
-    in_a_row: u32,
+    consecutive_failures: u32,
     ejected_until: Option<Instant>,
 }
 
 impl Health {
-    /// Whether the upstream is left out at `now`.
+    /// Whether the upstream is ejected at `now`.
     pub(crate) fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Notes an answer.
+    /// Records an answer, which ends the ejection.
     pub(crate) fn record_answer(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a failure; returns how long the upstream is left out.
+    /// Records a failure and returns the ejection time.
     pub(crate) fn record_failure(
         &mut self,
         failure: Failure,
@@ -61,17 +61,17 @@
         let time = match failure {
             Failure::Full => FULL_EJECTION,
             Failure::Unreachable | Failure::Silent => {
-                let doublings = self.in_a_row.min(GROWTH_LIMIT);
-                self.in_a_row += 1;
+                let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
+                self.consecutive_failures += 1;
                 (options.first_ejection() * 2_u32.pow(doublings)).min(options.longest_ejection())
             }
         };
-        self.leave_out(time, now);
+        self.eject_for(time, now);
         time
     }
 
-    /// Leaves the upstream out for at least `time`.
-    pub(crate) fn leave_out(&mut self, time: Duration, now: Instant) {
+    /// Ejects the upstream for at least `time`.
+    pub(crate) fn eject_for(&mut self, time: Duration, now: Instant) {
         let until = now + time;
         self.ejected_until = self.ejected_until.max(Some(until));
     }
--- a/crates/engines/src/incarnations.rs
+++ b/crates/engines/src/incarnations.rs
@@ -1,63 +1,67 @@
-//! Which life each upstream is in, and who waits for the end of one.
+//! Current incarnation of each upstream, and notification of its end.
 //!
-//! An upstream that crashes may start again under its id, with an empty engine.
-//! Its requests of before are gone, although a connection that was cut may never
-//! say so; whoever waits for one of them is told here.
+//! An upstream that crashes may restart under the same id with an empty engine. Its earlier
+//! requests are lost, although a partitioned connection may never report that; this module notifies
+//! whoever waits for one of them.
 
 use std::collections::HashMap;
 
 use futures_channel::oneshot;
 use mangofront_routes::{Upstream, UpstreamId};
 
-/// Told when the life that a request was placed on has ended.
-pub(crate) type LifeEnd = oneshot::Receiver<()>;
+/// Completes when the incarnation that runs a request has ended.
+pub(crate) type IncarnationEnd = oneshot::Receiver<()>;
 
-/// The latest life of each upstream.
+/// The latest incarnation of each upstream.
 #[derive(Debug, Default)]
-pub(crate) struct Lives(HashMap<UpstreamId, Life>);
+pub(crate) struct Incarnations(HashMap<UpstreamId, Incarnation>);
 
 #[derive(Debug)]
-struct Life {
+struct Incarnation {
     started_at_ms: u64,
-    waiting: Vec<oneshot::Sender<()>>,
+    waiters: Vec<oneshot::Sender<()>>,
 }
 
-impl Lives {
-    /// Takes over a registration; whether it is of another life than was known.
-    pub(crate) fn see(&mut self, upstream: &Upstream) -> bool {
-        let life = self.0.entry(upstream.id.clone()).or_insert_with(|| Life {
-            started_at_ms: upstream.started_at_ms,
-            waiting: Vec::new(),
-        });
-        if life.started_at_ms == upstream.started_at_ms {
+impl Incarnations {
+    /// Records a registration; returns whether it belongs to another incarnation than the known
+    /// one.
+    pub(crate) fn observe(&mut self, upstream: &Upstream) -> bool {
+        let incarnation = self
+            .0
+            .entry(upstream.id.clone())
+            .or_insert_with(|| Incarnation {
+                started_at_ms: upstream.started_at_ms,
+                waiters: Vec::new(),
+            });
+        if incarnation.started_at_ms == upstream.started_at_ms {
             return false;
         }
-        life.started_at_ms = upstream.started_at_ms;
-        for waiting in life.waiting.drain(..) {
-            // Whoever waited may have ended in the meantime.
-            let _ = waiting.send(());
+        incarnation.started_at_ms = upstream.started_at_ms;
+        for waiter in incarnation.waiters.drain(..) {
+            // The request that waited may have ended in the meantime.
+            let _ = waiter.send(());
         }
         true
     }
 
-    /// The end of the life that `upstream` is in.
-    pub(crate) fn end_of(&mut self, upstream: &Upstream) -> LifeEnd {
+    /// Subscribes to the end of the incarnation of `upstream`.
+    pub(crate) fn subscribe_end(&mut self, upstream: &Upstream) -> IncarnationEnd {
         let (end, ended) = oneshot::channel();
-        if let Some(life) = self.0.get_mut(&upstream.id) {
-            life.waiting.retain(|waiting| !waiting.is_canceled());
-            life.waiting.push(end);
+        if let Some(incarnation) = self.0.get_mut(&upstream.id) {
+            incarnation.waiters.retain(|waiter| !waiter.is_canceled());
+            incarnation.waiters.push(end);
         }
         ended
     }
 
-    /// Forgets the lives that `is_listed` does not name and nobody waits for.
+    /// Removes the incarnations that are not listed and have no waiters.
     ///
-    /// A request may outlast its upstream's registration, and a later
-    /// registration then still tells that it is lost.
+    /// A request may outlast its upstream's registration, and a later registration then still
+    /// reports it as lost.
     pub(crate) fn retain(&mut self, is_listed: impl Fn(&UpstreamId) -> bool) {
-        self.0.retain(|id, life| {
-            life.waiting.retain(|waiting| !waiting.is_canceled());
-            !life.waiting.is_empty() || is_listed(id)
+        self.0.retain(|id, incarnation| {
+            incarnation.waiters.retain(|waiter| !waiter.is_canceled());
+            !incarnation.waiters.is_empty() || is_listed(id)
         });
     }
 }
--- a/crates/engines/src/large_prompts.rs
+++ b/crates/engines/src/large_prompts.rs
@@ -1,11 +1,11 @@
-//! Which share of the largest prompts is served.
+//! Outcomes of the largest prompts.
 //!
-//! The largest prompts bring the most work for their worth, so they are the ones to
-//! refuse when there is too much. Of each size of them most have to be served all the
-//! same. So what became of each caller's request is kept for a while: of this daemon's
-//! own and, by their news, of all others', since one of hundreds meets too few of them to
-//! tell. A request counts once, however often its caller sends it, and one that was lost
-//! after it was placed counts like one that was refused.
+//! The largest prompts need the most work for their value, so under overload they are refused
+//! first. Most prompts of each size class have to be served all the same. The outcome of each
+//! caller's request is therefore retained for a while, for the requests of this daemon and, through
+//! their updates, of all others, since one daemon among hundreds sees too few of them. A request
+//! counts once, however often its caller retries, and one that was lost after placement counts like
+//! a refused one.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -13,62 +13,62 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Names a request over all the times that its caller sends it.
+/// Identifies a request across all retries of its caller.
 ///
-/// Wide enough that nobody can find another request of the same name.
+/// Wide enough that nobody can construct another request with the same fingerprint.
 pub type RequestFingerprint = u128;
 
-/// Time for which it is kept what became of a request: over two peaks and the time in
-/// which their callers come back.
-const KEPT_FOR: Duration = Duration::from_secs(60);
+/// Time for which an outcome is retained: more than two load peaks and the time in which their
+/// callers retry.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// Requests of which it is kept at most; the oldest go first.
-const KEPT_LIMIT: usize = 16_384;
+/// Maximum number of requests retained; the oldest are removed first.
+const MAX_REQUESTS: usize = 16_384;
 
-/// Requests of each size that count as served from the start: the first one could never
-/// be refused without them, however much else there is to do.
-const ADVANCE: u32 = 1;
+/// Requests of each size class assumed served from the start: without them the first one could
+/// never be refused, whatever the load.
+const ASSUMED_SERVED: u32 = 1;
 
-/// Sizes that are told apart within a doubling.
-const SIZES_A_DOUBLING: f64 = 1.5;
+/// Number of size classes per doubling of the prefill time.
+const SIZE_CLASSES_PER_DOUBLING: f64 = 1.5;
 
-/// SizeClass of a prompt too long for one engine to read within its target, among those of the
+/// Size class of a prompt that one engine can't prefill within its target, among prompts with the
 /// same service and target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SizeClass {
-    /// Short name of the service and the target.
+    /// Hash of the service and the target.
     kind: u32,
     step: u8,
 }
 
 impl SizeClass {
-    /// The size of a prompt that one engine reads in `read_ms`; none if that is within
-    /// its target.
-    pub(crate) fn of(service: &str, read_ms: f64, target: Duration) -> Option<Self> {
+    /// The size class of a prompt that one engine prefills in `prefill_ms`; `None` if that is
+    /// within the target.
+    pub(crate) fn of(service: &str, prefill_ms: f64, target: Duration) -> Option<Self> {
         let target_ms = target.as_secs_f64() * 1_000.0;
-        let targets = read_ms / target_ms.max(1.0);
+        let targets = prefill_ms / target_ms.max(1.0);
         (targets > 1.0).then(|| Self {
             kind: xxh3_64_with_seed(service.as_bytes(), target_ms as u64) as u32,
-            step: (targets.log2() * SIZES_A_DOUBLING) as u8,
+            step: (targets.log2() * SIZE_CLASSES_PER_DOUBLING) as u8,
         })
     }
 }
 
-/// What became of a request.
+/// State of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
-    /// It was refused for load.
+    /// Refused because of load.
     Refused,
     /// An upstream works on it.
     Placed,
-    /// It was placed and not answered whole.
+    /// Placed, but not answered completely.
     Lost,
-    /// It was answered whole.
+    /// Answered completely.
     Served,
 }
 
 impl Progress {
-    /// Whether it counts as not served.
+    /// Whether the request counts as not served.
     fn is_unserved(self) -> bool {
         match self {
             Self::Refused | Self::Lost => true,
@@ -77,94 +77,97 @@
     }
 }
 
-/// Requests of one size.
+/// Number of requests in one size class.
 #[derive(Debug, Clone, Copy, Default)]
-struct Tally {
-    all: u32,
+struct Counts {
+    total: u32,
     unserved: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Kept {
+struct Entry {
     size: SizeClass,
     progress: Progress,
 }
 
-/// What became of the largest prompts lately.
+/// Recent outcomes of the largest prompts.
 #[derive(Debug, Default)]
-pub(crate) struct Shares {
-    kept: HashMap<RequestFingerprint, Kept>,
-    /// In the order of their first news.
-    since: VecDeque<(Instant, RequestFingerprint)>,
-    tallies: HashMap<SizeClass, Tally>,
+pub(crate) struct LargePrompts {
+    retained: HashMap<RequestFingerprint, Entry>,
+    /// In the order in which they were first recorded.
+    by_age: VecDeque<(Instant, RequestFingerprint)>,
+    counts: HashMap<SizeClass, Counts>,
 }
 
-impl Shares {
-    /// Notes what became of a request; whether that is news.
-    pub(crate) fn note(
+impl LargePrompts {
+    /// Records the state of a request; returns whether it is new information.
+    pub(crate) fn record(
         &mut self,
         request: RequestFingerprint,
         size: SizeClass,
         progress: Progress,
         now: Instant,
     ) -> bool {
-        self.forget_old(now);
-        let before = self.kept.get(&request).copied();
-        // LoadUpdate overtake each other, and nothing follows a whole answer.
-        if before.is_some_and(|before| {
-            before.progress == progress || before.progress == Progress::Served
+        self.remove_expired(now);
+        let previous = self.retained.get(&request).copied();
+        // Updates may arrive out of order, and nothing follows a complete answer.
+        if previous.is_some_and(|previous| {
+            previous.progress == progress || previous.progress == Progress::Served
         }) {
             return false;
         }
-        match before {
-            Some(before) => self.uncount(before),
-            None => self.since.push_back((now, request)),
+        match previous {
+            Some(previous) => self.uncount(previous),
+            None => self.by_age.push_back((now, request)),
         }
-        let kept = Kept { size, progress };
-        self.kept.insert(request, kept);
-        let tally = self.tallies.entry(size).or_default();
-        tally.all += 1;
-        tally.unserved += u32::from(progress.is_unserved());
+        let entry = Entry { size, progress };
+        self.retained.insert(request, entry);
+        let counts = self.counts.entry(size).or_default();
+        counts.total += 1;
+        counts.unserved += u32::from(progress.is_unserved());
         true
     }
 
-    /// Whether at least `percent` of the requests of a size are served if this one is not.
-    pub(crate) fn are_served_without(
+    /// Whether at least `percent` of the requests in a size class are served if this one is not.
+    pub(crate) fn meets_served_share_without(
         &self,
         request: RequestFingerprint,
         size: SizeClass,
         percent: u64,
     ) -> bool {
-        let tally = self.tallies.get(&size).copied().unwrap_or_default();
-        let before = self.kept.get(&request).filter(|kept| kept.size == size);
-        let (all, unserved) = match before {
-            Some(kept) if kept.progress.is_unserved() => (tally.all, tally.unserved),
-            Some(_) => (tally.all, tally.unserved + 1),
-            None => (tally.all + 1, tally.unserved + 1),
+        let counts = self.counts.get(&size).copied().unwrap_or_default();
+        let previous = self
+            .retained
+            .get(&request)
+            .filter(|entry| entry.size == size);
+        let (total, unserved) = match previous {
+            Some(entry) if entry.progress.is_unserved() => (counts.total, counts.unserved),
+            Some(_) => (counts.total, counts.unserved + 1),
+            None => (counts.total + 1, counts.unserved + 1),
         };
-        let all = all + ADVANCE;
-        u64::from(all - unserved) * 100 >= percent * u64::from(all)
+        let total = total + ASSUMED_SERVED;
+        u64::from(total - unserved) * 100 >= percent * u64::from(total)
     }
 
-    fn uncount(&mut self, kept: Kept) {
-        if let Some(tally) = self.tallies.get_mut(&kept.size) {
-            tally.all -= 1;
-            tally.unserved -= u32::from(kept.progress.is_unserved());
-            if tally.all == 0 {
-                self.tallies.remove(&kept.size);
+    fn uncount(&mut self, entry: Entry) {
+        if let Some(counts) = self.counts.get_mut(&entry.size) {
+            counts.total -= 1;
+            counts.unserved -= u32::from(entry.progress.is_unserved());
+            if counts.total == 0 {
+                self.counts.remove(&entry.size);
             }
         }
     }
 
-    fn forget_old(&mut self, now: Instant) {
-        while let Some((at, request)) = self.since.front().copied() {
-            let is_old = now.saturating_duration_since(at) >= KEPT_FOR;
-            if !is_old && self.since.len() < KEPT_LIMIT {
+    fn remove_expired(&mut self, now: Instant) {
+        while let Some((at, request)) = self.by_age.front().copied() {
+            let is_old = now.saturating_duration_since(at) >= RETENTION;
+            if !is_old && self.by_age.len() < MAX_REQUESTS {
                 return;
             }
-            self.since.pop_front();
-            if let Some(kept) = self.kept.remove(&request) {
-                self.uncount(kept);
+            self.by_age.pop_front();
+            if let Some(entry) = self.retained.remove(&request) {
+                self.uncount(entry);
             }
         }
     }
--- a/crates/engines/src/lib.rs
+++ b/crates/engines/src/lib.rs
@@ -1,20 +1,18 @@
-//! Model of the upstreams' time and memory, and the choice among them.
+//! Load model of the upstreams, and the placement of requests on them.
 //!
-//! Owns what a daemon thinks each upstream is doing: its own requests, those
-//! that other daemons told of, and which upstreams failed lately. From the
-//! published speed of the engines it predicts when a prompt's first event would
-//! come, and chooses the engine that answers together with those that read
-//! parts of the prompt ([`Upstreams::place`]). It also owns which requests upstreams
-//! crashed under, and keeps those that crash every one from further ones.
+//! Tracks the load that a daemon assumes on each upstream: its own requests, those that other
+//! daemons reported, and recent failures. From the published engine profiles it predicts the time
+//! to first event of a prompt, and chooses the engine that answers together with the helpers that
+//! prefill shares of the prompt ([`Upstreams::place`]). It also tracks which requests upstreams
+//! crashed under, and quarantines those that keep crashing them.
 //!
-//! Long prompts are read by many engines at once, because the whole work stays
-//! the same while each engine, and every short request on it, is held up for a
-//! fraction of the time. Short prompts fill the engines from one end of an
-//! order that all daemons share, long ones from the other, so that under mixed
-//! load some engines stay free of long parts.
+//! Long prompts are split over many engines: the total work stays the same, while each engine, and
+//! every short request on it, is blocked for only a fraction of the time. Short prompts fill the
+//! engines from one end of an order that all daemons share and long ones from the other end, so
+//! that under mixed load some engines stay free of long prefills.
 //!
-//! Nothing in here does input or output. What other daemons should hear comes
-//! out of a channel as [`LoadUpdate`], and goes in by [`Upstreams::apply_update`].
+//! This crate does no input or output. Updates for other daemons are sent into a channel as
+//! [`LoadUpdate`]; those received are applied by [`Upstreams::apply_update`].
 
 mod arrivals;
 mod choose;
--- a/crates/engines/src/load_update.rs
+++ b/crates/engines/src/load_update.rs
@@ -1,71 +1,74 @@
-//! What daemons tell each other of their placements.
+//! Updates that daemons send each other about their placements.
 //!
-//! LoadUpdate may be lost, doubled or late: work that is heard of expires by itself,
-//! and an end that comes before its beginning is harmless.
+//! Updates may be lost, duplicated or late: work that was reported expires without further updates,
+//! and an end that arrives before its placement is harmless.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use crate::crashes::Record;
+use crate::crashes::CrashRecord;
 use crate::large_prompts::{Progress, RequestFingerprint, SizeClass};
-use crate::work::{Part, UpstreamKey, Work, WorkId};
+use crate::work::{ShareLoad, UpstreamKey, Work, WorkId};
 
-/// One life of a daemon that tells news.
+/// Identifies one incarnation of a daemon that sends updates.
 pub type IncarnationId = u64;
 
-/// One piece of news.
+/// One update.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadUpdate {
     /// A request was placed.
     Placed {
-        /// Number of the request.
+        /// Id of the request.
         work: WorkId,
-        /// Parts; the first one's upstream answers.
-        parts: Vec<ShareUpdate>,
-        /// Longest pause between events of an answer in time, in milliseconds.
+        /// Shares of the request; the upstream of the first one answers.
+        #[serde(rename = "parts")]
+        shares: Vec<ShareUpdate>,
+        /// Longest gap between events for the answer to count as on time, in milliseconds.
         gap_ms: u32,
-        /// Time until the first event is expected, in milliseconds.
+        /// Time until the expected first event, in milliseconds.
         expected_in_ms: u32,
-        /// Time after which the request has ended for certain, in milliseconds.
+        /// Time after which the request has certainly ended, in milliseconds.
         expires_in_ms: u32,
     },
-    /// A request's first event came.
+    /// A request had its first event.
     #[serde(rename = "Read")]
     FirstEvent {
-        /// Number of the request.
+        /// Id of the request.
         work: WorkId,
     },
     /// A request ended.
     Ended {
-        /// Number of the request.
+        /// Id of the request.
         work: WorkId,
     },
-    /// All requests of the teller that have not ended, told each second.
+    /// All unfinished requests of the sender, sent every second.
     ///
-    /// Whoever missed an end, or a first event, is set right by it.
+    /// Corrects the view of a daemon that missed an end or a first event.
     Running {
-        /// Requests whose first event is awaited.
-        reading: Vec<WorkId>,
-        /// Requests that write.
-        writing: Vec<WorkId>,
+        /// Requests that wait for their first event.
+        #[serde(rename = "reading")]
+        prefilling: Vec<WorkId>,
+        /// Requests that decode.
+        #[serde(rename = "writing")]
+        decoding: Vec<WorkId>,
     },
-    /// What became of one of the largest prompts.
+    /// The state of one of the largest prompts changed.
     Progress {
         /// The request.
         request: RequestFingerprint,
-        /// Its size.
+        /// Its size class.
         size: SizeClass,
-        /// What became of it.
+        /// Its state.
         progress: Progress,
     },
-    /// Upstreams crashed under a request; all that the teller knows of it.
+    /// Upstreams crashed under a request: everything that the sender knows about it.
     Crashes {
         /// The request.
         request: RequestFingerprint,
-        /// Lives of upstreams that ended under it.
+        /// Incarnations of upstreams that ended under it.
         crashed: Vec<UpstreamKey>,
-        /// Those of them for which it was cleared since.
+        /// Those of them for which it was cleared later.
         cleared: Vec<UpstreamKey>,
         /// Time since the last of them ended, in milliseconds.
         since_ms: u32,
@@ -74,25 +77,26 @@
     Failed {
         /// The upstream.
         upstream: UpstreamKey,
-        /// How long the teller leaves it out, in milliseconds.
+        /// Time for which the sender ejects it, in milliseconds.
         ejected_ms: u32,
     },
 }
 
-/// One part of a request that was placed.
+/// One share of a placed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareUpdate {
-    /// The upstream that reads it.
+    /// The upstream that prefills it.
     pub upstream: UpstreamKey,
-    /// Time to read it, in microseconds.
-    pub read_us: u32,
-    /// Memory set aside, in tokens.
+    /// Prefill time, in microseconds.
+    #[serde(rename = "read_us")]
+    pub prefill_us: u32,
+    /// Memory allocated, in tokens.
     pub memory_tokens: u32,
-    /// Context that each step costs there, in tokens.
+    /// Context added to each decode step there, in tokens.
     pub context_tokens: u32,
 }
 
-pub(crate) fn placed_news(
+pub(crate) fn placed_update(
     id: WorkId,
     work: &Work,
     expected: Duration,
@@ -100,40 +104,40 @@
 ) -> LoadUpdate {
     LoadUpdate::Placed {
         work: id,
-        parts: work.parts.iter().map(part_news).collect(),
+        shares: work.shares.iter().map(share_update).collect(),
         gap_ms: work.gap_ms as u32,
-        expected_in_ms: milliseconds(expected),
-        expires_in_ms: milliseconds(time_left),
+        expected_in_ms: saturating_ms(expected),
+        expires_in_ms: saturating_ms(time_left),
     }
 }
 
-fn part_news(part: &Part) -> ShareUpdate {
+fn share_update(share: &ShareLoad) -> ShareUpdate {
     ShareUpdate {
-        upstream: part.upstream,
-        read_us: (part.read_ms * 1_000.0) as u32,
-        memory_tokens: u32::try_from(part.memory_tokens).unwrap_or(u32::MAX),
-        context_tokens: u32::try_from(part.context_tokens).unwrap_or(u32::MAX),
+        upstream: share.upstream,
+        prefill_us: (share.prefill_ms * 1_000.0) as u32,
+        memory_tokens: u32::try_from(share.memory_tokens).unwrap_or(u32::MAX),
+        context_tokens: u32::try_from(share.context_tokens).unwrap_or(u32::MAX),
     }
 }
 
-pub(crate) fn part_of(news: &ShareUpdate) -> Part {
-    Part {
-        upstream: news.upstream,
-        read_ms: f64::from(news.read_us) / 1_000.0,
-        memory_tokens: u64::from(news.memory_tokens),
-        context_tokens: u64::from(news.context_tokens),
+pub(crate) fn share_load(update: &ShareUpdate) -> ShareLoad {
+    ShareLoad {
+        upstream: update.upstream,
+        prefill_ms: f64::from(update.prefill_us) / 1_000.0,
+        memory_tokens: u64::from(update.memory_tokens),
+        context_tokens: u64::from(update.context_tokens),
     }
 }
 
-pub(crate) fn crashes_news(request: RequestFingerprint, record: Record) -> LoadUpdate {
+pub(crate) fn crashes_update(request: RequestFingerprint, record: CrashRecord) -> LoadUpdate {
     LoadUpdate::Crashes {
         request,
         crashed: record.crashed,
         cleared: record.cleared,
-        since_ms: milliseconds(record.since),
+        since_ms: saturating_ms(record.since),
     }
 }
 
-pub(crate) fn milliseconds(time: Duration) -> u32 {
+pub(crate) fn saturating_ms(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/engines/src/placement.rs
+++ b/crates/engines/src/placement.rs
@@ -1,34 +1,34 @@
-//! A request's place at its upstreams.
+//! A placed request.
 
 use std::time::Duration;
 
 use mangofront_routes::Upstream;
 
 use crate::choose::Share;
-use crate::incarnations::LifeEnd;
+use crate::incarnations::IncarnationEnd;
 use crate::large_prompts::{Progress, RequestFingerprint, SizeClass};
 use crate::upstreams::Upstreams;
 use crate::work::WorkId;
 
-/// A request's place at its upstreams; ends when dropped.
+/// A request placed on its upstreams; ends when dropped.
 #[derive(Debug)]
 #[must_use = "the request counts as ended once this is dropped"]
 pub struct Placement {
-    /// Upstreams; the first answers, the others read parts of the prompt.
+    /// Shares of the upstreams; the first one answers, the others prefill.
     pub shares: Vec<Share>,
-    /// Time to the first event, as predicted.
+    /// Predicted time to first event.
     pub expected_first_event: Duration,
-    /// Longest queue before the upstreams, as far as known.
+    /// Longest queue at the chosen upstreams, as far as known.
     pub queue_delay: Duration,
-    /// Other daemons whose requests were known.
+    /// Number of other daemons whose requests were taken into account.
     pub known_daemons: usize,
-    /// Time since the one of them that was heard least lately.
+    /// Time since the last update of the one of them that was silent for longest.
     pub oldest_update: Duration,
     pub(crate) id: WorkId,
-    pub(crate) is_read: bool,
-    /// The request and its size, if it is among the largest.
-    pub(crate) share: Option<(RequestFingerprint, SizeClass)>,
-    pub(crate) life_end: LifeEnd,
+    pub(crate) has_first_event: bool,
+    /// Fingerprint and size class, if the prompt is one of the largest.
+    pub(crate) large_prompt: Option<(RequestFingerprint, SizeClass)>,
+    pub(crate) incarnation_end: IncarnationEnd,
     pub(crate) upstreams: Upstreams,
 }
 
@@ -39,42 +39,43 @@
         &self.shares[0].upstream
     }
 
-    /// Waits until the upstream that answers is known to have started again, which
-    /// ends what it was doing; never returns as long as it has not.
+    /// Waits until the answering upstream is known to have restarted, which ends its requests;
+    /// never returns if it has not.
     pub async fn restarted(&mut self) {
-        if (&mut self.life_end).await.is_err() {
-            // Nobody looks after this upstream any more, so nobody will tell.
+        if (&mut self.incarnation_end).await.is_err() {
+            // The upstream is no longer tracked, so no notification will come.
             std::future::pending::<()>().await;
         }
     }
 
-    /// Number of the request within this daemon.
+    /// Id of the request within this daemon.
     #[must_use]
     pub fn work_id(&self) -> WorkId {
         self.id
     }
 
-    /// Notes that the first event came.
+    /// Records the first event.
     pub fn record_first_event(&mut self) {
-        if std::mem::replace(&mut self.is_read, true) {
+        if std::mem::replace(&mut self.has_first_event, true) {
             return;
         }
-        self.upstreams.note_read(self.id);
+        self.upstreams.record_first_event(self.id);
     }
 
-    /// Notes that the answer was passed on whole.
+    /// Records that the complete answer was forwarded.
     pub fn record_complete(&mut self) {
-        if let Some((request, size)) = self.share.take() {
-            self.upstreams.note_end(request, size, Progress::Served);
+        if let Some((request, size)) = self.large_prompt.take() {
+            self.upstreams
+                .record_outcome(request, size, Progress::Served);
         }
     }
 }
 
 impl Drop for Placement {
     fn drop(&mut self) {
-        self.upstreams.note_ended(self.id);
-        if let Some((request, size)) = self.share.take() {
-            self.upstreams.note_end(request, size, Progress::Lost);
+        self.upstreams.record_end(self.id);
+        if let Some((request, size)) = self.large_prompt.take() {
+            self.upstreams.record_outcome(request, size, Progress::Lost);
         }
     }
 }
--- a/crates/engines/src/state.rs
+++ b/crates/engines/src/state.rs
@@ -1,4 +1,4 @@
-//! What a daemon believes of the upstreams and of the other daemons.
+//! A daemon's view of the upstreams and of the other daemons.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -9,181 +9,181 @@
 use crate::arrivals::Arrivals;
 use crate::choose::Demand;
 use crate::crashes::Crashes;
-use crate::decision::ServedWithout;
-use crate::incarnations::Lives;
-use crate::large_prompts::{Shares, SizeClass};
+use crate::decision::ServedShare;
+use crate::incarnations::Incarnations;
+use crate::large_prompts::{LargePrompts, SizeClass};
 use crate::load_update::IncarnationId;
-use crate::upstream_state::Known;
+use crate::upstream_state::UpstreamState;
 use crate::work::{UpstreamKey, Work, WorkId};
 
-/// Who placed a request: this daemon or another.
+/// Identifies a request by the daemon that placed it, this one or another, and its id there.
 pub(crate) type WorkKey = (IncarnationId, WorkId);
 
-/// IncarnationId of this daemon's own work.
-pub(crate) const OWN: IncarnationId = 0;
+/// Incarnation id that stands for this daemon's own requests.
+pub(crate) const LOCAL: IncarnationId = 0;
 
-/// Silence after which a daemon's requests are forgotten: it tells of them each
-/// second, and a datagram or two may be lost.
-const SILENT_AFTER: Duration = Duration::from_millis(3_500);
+/// Silence after which a daemon's requests are dropped: it broadcasts them every second, and one or
+/// two datagrams may be lost.
+const DAEMON_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Silence after which a zone is left out. A quiet zone is tried before that, see
-/// [`crate::Upstreams::probe_targets`], so this is about one connection attempt longer.
-const ZONE_SILENT_AFTER: Duration = Duration::from_millis(1_100);
+/// Silence after which a zone counts as unreachable. It is probed before that, see
+/// [`crate::Upstreams::probe_targets`], so this allows for about one connection attempt more.
+const ZONE_TIMEOUT: Duration = Duration::from_millis(1_100);
 
-/// Age up to which a request may be missing in a list that was on its way.
-const LATEST_NEWS: Duration = Duration::from_millis(300);
+/// Age up to which a request may be missing from a list that was in transit.
+const LIST_TRANSIT_LIMIT: Duration = Duration::from_millis(300);
 
+/// Mutable state behind [`crate::Upstreams`].
 #[derive(Debug, Default)]
 pub(crate) struct State {
     /// Sorted by key, which is the order that all daemons share.
-    pub(crate) known: Vec<Known>,
-    /// Sorted, so that what is added up does not depend on a random order.
-    pub(crate) works: BTreeMap<WorkKey, Work>,
+    pub(crate) upstreams: Vec<UpstreamState>,
+    /// Sorted, so that sums do not depend on the random order of a hash map.
+    pub(crate) work: BTreeMap<WorkKey, Work>,
     pub(crate) next_work: WorkId,
     /// When this daemon last placed a request.
     pub(crate) placed_at: Option<Instant>,
-    /// When each other daemon was last heard.
-    pub(crate) heard: HashMap<IncarnationId, Instant>,
-    /// When each other zone last showed that it can be reached.
-    pub(crate) zones: HashMap<AvailabilityZone, Instant>,
-    /// The life that each upstream is in.
-    pub(crate) lives: Lives,
-    /// What became of the largest prompts.
-    pub(crate) shares: Shares,
-    /// Requests under which upstreams crashed.
+    /// When the last update of each other daemon arrived.
+    pub(crate) last_received: HashMap<IncarnationId, Instant>,
+    /// When each other zone last proved reachable.
+    pub(crate) zone_contacts: HashMap<AvailabilityZone, Instant>,
+    /// The current incarnation of each upstream.
+    pub(crate) incarnations: Incarnations,
+    /// Outcomes of the largest prompts.
+    pub(crate) large_prompts: LargePrompts,
+    /// Crash histories of requests.
     pub(crate) crashes: Crashes,
-    /// Short prompts that other daemons place.
-    pub(crate) shorts_of_others: Arrivals,
-    /// Time until a placement of another daemon is heard of.
-    pub(crate) news_delay: Duration,
-    /// Shortest pause that any request so far allowed.
+    /// Short prompts placed by other daemons.
+    pub(crate) remote_short_arrivals: Arrivals,
+    /// Time until a placement of another daemon is known here.
+    pub(crate) update_delay: Duration,
+    /// Shortest gap that any request so far allowed.
     pub(crate) shortest_gap: Option<Duration>,
 }
 
 impl State {
-    /// Adds a request; one that is told of twice is added once.
+    /// Adds a request; one that is reported twice is added once.
     pub(crate) fn add(&mut self, key: WorkKey, work: Work, now: Instant) {
-        if self.works.contains_key(&key) {
+        if self.work.contains_key(&key) {
             return;
         }
-        for part in &work.parts {
-            if let Some(known) = self.known_mut(part.upstream) {
-                known.add_reading(part.read_ms, now);
+        for share in &work.shares {
+            if let Some(entry) = self.upstream_mut(share.upstream) {
+                entry.enqueue_prefill(share.prefill_ms, now);
             }
         }
-        self.works.insert(key, work);
+        self.work.insert(key, work);
     }
 
-    pub(crate) fn hear_zone(&mut self, zone: &str, own_zone: &str, now: Instant) {
+    pub(crate) fn record_zone_contact(&mut self, zone: &str, own_zone: &str, now: Instant) {
         if zone == own_zone {
             return;
         }
-        match self.zones.get_mut(zone) {
+        match self.zone_contacts.get_mut(zone) {
             Some(at) => *at = now,
             None => {
-                self.zones.insert(zone.to_owned(), now);
+                self.zone_contacts.insert(zone.to_owned(), now);
             }
         }
     }
 
-    /// Whether a zone seems to be cut off: nothing came from its daemons or its
-    /// upstreams lately, and trying it by a connection failed too.
-    pub(crate) fn is_zone_silent(&self, zone: &str, now: Instant) -> bool {
-        let heard = self.zones.get(zone);
-        heard.is_some_and(|at| now.saturating_duration_since(*at) > ZONE_SILENT_AFTER)
+    /// Whether a zone seems to be partitioned: nothing arrived from its daemons or upstreams
+    /// recently, and a connection attempt failed too.
+    pub(crate) fn is_zone_unreachable(&self, zone: &str, now: Instant) -> bool {
+        let last_contact = self.zone_contacts.get(zone);
+        last_contact.is_some_and(|at| now.saturating_duration_since(*at) > ZONE_TIMEOUT)
     }
 
-    /// Time since the daemon that was heard least lately.
+    /// Time since the last update of the daemon that was silent for longest.
     pub(crate) fn oldest_update(&self, now: Instant) -> Duration {
-        let oldest = self.heard.values().min();
+        let oldest = self.last_received.values().min();
         oldest.map_or(Duration::ZERO, |at| now.saturating_duration_since(*at))
     }
 
-    /// SizeClass of a prompt, if it is among the largest.
+    /// Size class of a prompt, if it is one of the largest.
     pub(crate) fn size(&self, service: &str, demand: &Demand) -> Option<SizeClass> {
-        let mut of_service = self.known.iter();
-        let known = of_service.find(|known| known.info.service == service)?;
-        let read_ms = known.figures.as_ref()?.prefill_ms(demand.prompt_tokens);
-        SizeClass::of(service, read_ms, demand.target)
+        let mut of_service = self.upstreams.iter();
+        let entry = of_service.find(|entry| entry.registration.service == service)?;
+        let prefill_ms = entry.profile.as_ref()?.prefill_ms(demand.prompt_tokens);
+        SizeClass::of(service, prefill_ms, demand.target)
     }
 
-    /// How many prompts of its size are served without a prompt.
-    pub(crate) fn served_without(
+    /// Served share of the prompt's size class if this prompt is not served.
+    pub(crate) fn served_share(
         &self,
         demand: &Demand,
         size: Option<SizeClass>,
         options: &ChoiceOptions,
-    ) -> ServedWithout {
+    ) -> ServedShare {
         let Some(size) = size else {
-            return ServedWithout::NotCounted;
+            return ServedShare::NotCounted;
         };
-        let are_served = |percent| {
-            let shares = &self.shares;
-            shares.are_served_without(demand.request, size, percent)
+        let is_met = |percent| {
+            let large_prompts = &self.large_prompts;
+            large_prompts.meets_served_share_without(demand.request, size, percent)
         };
-        if are_served(options.served_percent) {
-            ServedWithout::Enough
-        } else if are_served(options.promised_percent) {
-            ServedWithout::AsPromised
+        if is_met(options.served_percent) {
+            ServedShare::TargetMet
+        } else if is_met(options.promised_percent) {
+            ServedShare::PromiseMet
         } else {
-            ServedWithout::TooFew
+            ServedShare::BelowPromise
         }
     }
 
-    /// Drops requests that have ended for certain, and those of daemons that
-    /// are not heard any more: they are dead, and their requests with them, or
-    /// cut off, and then nothing is known.
-    pub(crate) fn forget_old(&mut self, now: Instant) {
-        let is_silent = |at: &Instant| now.saturating_duration_since(*at) > SILENT_AFTER;
-        let silent: Vec<IncarnationId> = self
-            .heard
+    /// Drops requests that have certainly ended, and those of daemons that timed out: they are
+    /// dead, and their requests with them, or partitioned, and then their state is unknown.
+    pub(crate) fn remove_expired(&mut self, now: Instant) {
+        let is_timed_out = |at: &Instant| now.saturating_duration_since(*at) > DAEMON_TIMEOUT;
+        let timed_out: Vec<IncarnationId> = self
+            .last_received
             .iter()
-            .filter(|(_, at)| is_silent(at))
+            .filter(|(_, at)| is_timed_out(at))
             .map(|(origin, _)| *origin)
             .collect();
-        self.heard.retain(|_, at| !is_silent(at));
-        self.works
-            .retain(|key, work| now < work.expires_at && !silent.contains(&key.0));
+        self.last_received.retain(|_, at| !is_timed_out(at));
+        self.work
+            .retain(|key, work| now < work.expires_at && !timed_out.contains(&key.0));
     }
 
-    /// Sets the requests of another daemon right by its own list; whether it has
-    /// some that are not known here.
-    pub(crate) fn set_running(
+    /// Reconciles the requests of another daemon with its own list; returns whether the list has
+    /// requests that are unknown here.
+    pub(crate) fn reconcile(
         &mut self,
         origin: IncarnationId,
-        reading: &[WorkId],
-        writing: &[WorkId],
+        prefilling: &[WorkId],
+        decoding: &[WorkId],
         now: Instant,
     ) -> bool {
         let of_origin = self
-            .works
+            .work
             .range((origin, WorkId::MIN)..=(origin, WorkId::MAX));
         let ended: Vec<WorkKey> = of_origin
             .filter(|(key, work)| {
-                let is_new = now.saturating_duration_since(work.known_since) < LATEST_NEWS;
-                let is_running = reading.contains(&key.1) || writing.contains(&key.1);
+                let is_new = now.saturating_duration_since(work.known_since) < LIST_TRANSIT_LIMIT;
+                let is_running = prefilling.contains(&key.1) || decoding.contains(&key.1);
                 !is_new && !is_running
             })
             .map(|(key, _)| *key)
             .collect();
         for key in ended {
-            self.works.remove(&key);
+            self.work.remove(&key);
         }
-        for work in writing {
-            self.mark_read(&(origin, *work));
+        for work in decoding {
+            self.mark_first_event(&(origin, *work));
         }
-        let mut listed = reading.iter().chain(writing);
-        listed.any(|work| !self.works.contains_key(&(origin, *work)))
+        let mut listed = prefilling.iter().chain(decoding);
+        listed.any(|work| !self.work.contains_key(&(origin, *work)))
     }
 
-    pub(crate) fn mark_read(&mut self, key: &WorkKey) {
-        if let Some(work) = self.works.get_mut(key) {
-            work.is_reading = false;
+    pub(crate) fn mark_first_event(&mut self, key: &WorkKey) {
+        if let Some(work) = self.work.get_mut(key) {
+            work.is_prefilling = false;
         }
     }
 
-    pub(crate) fn known_mut(&mut self, key: UpstreamKey) -> Option<&mut Known> {
-        let place = self.known.binary_search_by_key(&key, |known| known.key);
-        self.known.get_mut(place.ok()?)
+    pub(crate) fn upstream_mut(&mut self, key: UpstreamKey) -> Option<&mut UpstreamState> {
+        let index = self.upstreams.binary_search_by_key(&key, |entry| entry.key);
+        self.upstreams.get_mut(index.ok()?)
     }
 }
--- a/crates/engines/src/upstream_state.rs
+++ b/crates/engines/src/upstream_state.rs
@@ -1,4 +1,4 @@
-//! What is known of one upstream.
+//! State of one upstream.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -6,161 +6,167 @@
 use mangofront_routes::{EngineProfile, Upstream};
 
 use crate::health::Health;
-use crate::work::{Part, UpstreamKey, Work, key_of};
+use crate::work::{ShareLoad, UpstreamKey, Work, key_of};
 
-/// Lateness of a first event from which an upstream counts as held up.
-const LATE_AFTER: Duration = Duration::from_millis(150);
+/// Delay of a first event beyond its expected time from which the upstream counts as late.
+const FIRST_EVENT_GRACE: Duration = Duration::from_millis(150);
 
-/// Most that a late first event counts for, in milliseconds: enough to prefer
-/// another upstream, little enough for one that is only slow to stay in use.
-const LATE_LIMIT_MS: f64 = 500.0;
+/// Largest lateness that is taken into account, in milliseconds: enough to prefer another upstream,
+/// little enough that one that is merely slow stays in use.
+const MAX_LATENESS_MS: f64 = 500.0;
 
-/// One upstream and the work on it.
+/// One upstream with its health and its prefill queue.
 #[derive(Debug)]
-pub(crate) struct Known {
+pub(crate) struct UpstreamState {
     pub(crate) key: UpstreamKey,
-    pub(crate) info: Upstream,
-    pub(crate) figures: Option<Rc<EngineProfile>>,
+    pub(crate) registration: Upstream,
+    pub(crate) profile: Option<Rc<EngineProfile>>,
     pub(crate) health: Health,
-    /// When it has read all that was placed on it, by the published speed.
+    /// When everything placed on it is prefilled, by its published profile.
     busy_until: Instant,
 }
 
-/// The work on one upstream, added up.
+/// Sum of the work on one upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Load {
-    /// Time until all that was placed is read, in milliseconds.
+    /// Time until everything placed is prefilled, in milliseconds.
     pub(crate) backlog_ms: f64,
-    /// Requests that it answers, reading or writing.
+    /// Requests that it answers, in prefill or decode.
     pub(crate) answering: u32,
-    /// Requests of others of which it reads a part.
+    /// Requests of other upstreams for which it prefills a share.
     pub(crate) helping: u32,
-    /// Requests that write.
-    pub(crate) writers: u32,
-    /// Context of the requests that write, in tokens.
+    /// Requests in decode.
+    pub(crate) decoding: u32,
+    /// Context of the requests in decode, in tokens.
     pub(crate) context_tokens: u64,
-    /// Memory set aside, in tokens.
+    /// Memory allocated, in tokens.
     pub(crate) memory_tokens: u64,
-    /// Shortest pause that an answer of this upstream allows, in milliseconds.
-    pub(crate) least_gap_ms: Option<f64>,
+    /// Shortest gap that an answer of this upstream allows, in milliseconds.
+    pub(crate) shortest_gap_ms: Option<f64>,
 }
 
-impl Known {
-    pub(crate) fn new(info: Upstream, figures: Option<Rc<EngineProfile>>, now: Instant) -> Self {
+impl UpstreamState {
+    pub(crate) fn new(
+        registration: Upstream,
+        profile: Option<Rc<EngineProfile>>,
+        now: Instant,
+    ) -> Self {
         Self {
-            key: key_of(&info),
-            info,
-            figures,
+            key: key_of(&registration),
+            registration,
+            profile,
             health: Health::default(),
             busy_until: now,
         }
     }
 
-    /// The same upstream as it is published now.
-    pub(crate) fn renewed(self, info: Upstream, figures: Option<Rc<EngineProfile>>) -> Self {
+    /// The same upstream with its current registration and profile.
+    pub(crate) fn with_registration(
+        self,
+        registration: Upstream,
+        profile: Option<Rc<EngineProfile>>,
+    ) -> Self {
         Self {
-            info,
-            figures,
+            registration,
+            profile,
             ..self
         }
     }
 
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub(crate) fn slots(&self) -> u32 {
-        self.figures
+        self.profile
             .as_ref()
-            .map_or(self.info.slots, |figures| figures.slots)
+            .map_or(self.registration.slots, |profile| profile.slots)
     }
 
-    /// Puts a part's reading behind what is to be read already.
-    pub(crate) fn add_reading(&mut self, read_ms: f64, now: Instant) {
-        let starts = self.busy_until.max(now);
-        self.busy_until = starts + Duration::from_secs_f64(read_ms.max(0.0) / 1_000.0);
+    /// Appends the prefill of a share to the queue.
+    pub(crate) fn enqueue_prefill(&mut self, prefill_ms: f64, now: Instant) {
+        let start = self.busy_until.max(now);
+        self.busy_until = start + Duration::from_secs_f64(prefill_ms.max(0.0) / 1_000.0);
     }
 
-    /// The load out of what was added up of this upstream.
-    fn finish(&self, tally: Tally, now: Instant) -> Load {
-        let Tally {
+    /// Computes the load from the summed work of this upstream.
+    fn finish(&self, sum: LoadSum, now: Instant) -> Load {
+        let LoadSum {
             mut load,
-            unread_ms,
+            unfinished_ms,
             late_ms,
-        } = tally;
-        if unread_ms > 0.0 {
-            // Work that was refused, cancelled or read sooner than planned is
-            // still in the plan, but no more among what is unread.
+        } = sum;
+        if unfinished_ms > 0.0 {
+            // Work that was refused, cancelled or prefilled sooner than planned is still part of
+            // `busy_until`, but no longer of the unfinished work.
             let planned = self.busy_until.saturating_duration_since(now);
             let planned_ms = planned.as_secs_f64() * 1_000.0;
-            load.backlog_ms = planned_ms.min(unread_ms) + late_ms;
+            load.backlog_ms = planned_ms.min(unfinished_ms) + late_ms;
         }
         load
     }
 }
 
-/// Work on one upstream that is being added up.
+/// Accumulated work of one upstream.
 #[derive(Debug, Clone, Copy, Default)]
-struct Tally {
+struct LoadSum {
     load: Load,
-    /// Time to read all that is unread, in milliseconds.
-    unread_ms: f64,
-    /// Lateness of the first event that is most overdue, in milliseconds.
+    /// Time to prefill all unfinished work, in milliseconds.
+    unfinished_ms: f64,
+    /// Lateness of the most overdue first event, in milliseconds.
     late_ms: f64,
 }
 
-/// The loads of `known`, which is sorted by key, in the same order.
+/// The loads of `upstreams`, which is sorted by key, in the same order.
 ///
-/// One pass over the work for all upstreams: there are hundreds of requests at dozens
-/// of engines, and each request is chosen for anew.
+/// Sums up the work of all upstreams in one iteration: there are hundreds of requests on dozens of
+/// engines, and this runs for every placement.
 pub(crate) fn loads<'a>(
-    known: &[Known],
-    works: impl Iterator<Item = &'a Work>,
+    upstreams: &[UpstreamState],
+    work: impl Iterator<Item = &'a Work>,
     now: Instant,
 ) -> Vec<Load> {
-    let mut tallies = vec![Tally::default(); known.len()];
-    for work in works {
-        for (place, part) in work.parts.iter().enumerate() {
-            // A part of an upstream that is gone counts nowhere.
-            let Ok(index) = known.binary_search_by_key(&part.upstream, |one| one.key) else {
+    let mut sums = vec![LoadSum::default(); upstreams.len()];
+    for work in work {
+        for (position, share) in work.shares.iter().enumerate() {
+            // A share on an upstream that is gone does not count.
+            let Ok(index) = upstreams.binary_search_by_key(&share.upstream, |one| one.key) else {
                 continue;
             };
-            let tally = &mut tallies[index];
-            tally.load.add(work, part, place == 0);
-            if work.is_reading {
-                tally.unread_ms += part.read_ms;
-                tally.late_ms = tally.late_ms.max(lateness_ms(work, now));
+            let sum = &mut sums[index];
+            sum.load.add(work, share, position == 0);
+            if work.is_prefilling {
+                sum.unfinished_ms += share.prefill_ms;
+                sum.late_ms = sum.late_ms.max(lateness_ms(work, now));
             }
         }
     }
-    let finished = known.iter().zip(tallies);
-    finished
-        .map(|(one, tally)| one.finish(tally, now))
-        .collect()
+    let finished = upstreams.iter().zip(sums);
+    finished.map(|(one, sum)| one.finish(sum, now)).collect()
 }
 
 impl Load {
-    /// Requests that hold a slot: a part that is read for another upstream holds
-    /// one like a request of its own.
+    /// Occupied slots: the prefill of a share for another upstream takes a slot like a request of
+    /// its own.
     pub(crate) fn running(&self) -> u32 {
         self.answering + self.helping
     }
 
-    fn add(&mut self, work: &Work, part: &Part, answers: bool) {
+    fn add(&mut self, work: &Work, share: &ShareLoad, answers: bool) {
         if answers {
             self.answering += 1;
-            let least = self.least_gap_ms.unwrap_or(f64::INFINITY);
-            self.least_gap_ms = Some(least.min(work.gap_ms));
-        } else if work.is_reading {
+            let shortest = self.shortest_gap_ms.unwrap_or(f64::INFINITY);
+            self.shortest_gap_ms = Some(shortest.min(work.gap_ms));
+        } else if work.is_prefilling {
             self.helping += 1;
         }
-        self.memory_tokens += part.memory_tokens;
-        if !work.is_reading && part.context_tokens > 0 {
-            self.writers += 1;
-            self.context_tokens += part.context_tokens;
+        self.memory_tokens += share.memory_tokens;
+        if !work.is_prefilling && share.context_tokens > 0 {
+            self.decoding += 1;
+            self.context_tokens += share.context_tokens;
         }
     }
 }
 
-/// How much later than expected a first event is, in milliseconds.
+/// Delay of a first event beyond its expected time, in milliseconds.
 fn lateness_ms(work: &Work, now: Instant) -> f64 {
-    let late = now.saturating_duration_since(work.expected_at + LATE_AFTER);
-    (late.as_secs_f64() * 1_000.0).min(LATE_LIMIT_MS)
+    let late = now.saturating_duration_since(work.expected_at + FIRST_EVENT_GRACE);
+    (late.as_secs_f64() * 1_000.0).min(MAX_LATENESS_MS)
 }
--- a/crates/engines/src/upstreams.rs
+++ b/crates/engines/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! The handle that holds all upstreams and the work on them.
+//! Handle to all upstreams and the work on them.
 
 mod crash_records;
 mod updates;
@@ -15,21 +15,21 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::choose::{
-    Candidate, Choice, Circumstances, Demand, NoUpstream, choose_engines, choose_plain,
+    Candidate, Choice, ChoiceContext, Demand, NoUpstream, choose_engines, choose_plain,
 };
 use crate::health::Failure;
 use crate::large_prompts::{Progress, SizeClass};
-use crate::load_update::{LoadUpdate, milliseconds, placed_news};
+use crate::load_update::{LoadUpdate, placed_update, saturating_ms};
 use crate::placement::Placement;
-use crate::state::{OWN, State};
-use crate::upstream_state::{Known, Load, loads};
+use crate::state::{LOCAL, State};
+use crate::upstream_state::{Load, UpstreamState, loads};
 use crate::work::{UpstreamKey, Work, key_of};
 use mangofront_settings::process::ChoiceOptions;
 
-/// Tells the time.
+/// Source of the current time.
 pub type Clock = fn() -> Instant;
 
-/// All upstreams in this daemon's view; clones share it.
+/// All upstreams as this daemon sees them; clones share the state.
 #[derive(Debug, Clone)]
 pub struct Upstreams(Rc<Shared>);
 
@@ -37,56 +37,55 @@
 struct Shared {
     options: ChoiceOptions,
     availability_zone: AvailabilityZone,
-    news: UnboundedSender<LoadUpdate>,
-    /// Differs between daemons, so that they don't all take the same of equals.
+    updates: UnboundedSender<LoadUpdate>,
+    /// Differs between daemons, so that they don't all choose the same one of equal upstreams.
     salt: u64,
     clock: Clock,
     started: Instant,
     state: RefCell<State>,
 }
 
-/// What is known of one upstream, for a status page.
+/// State of one upstream, for a status page.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamStatus {
     /// The upstream.
     pub upstream: Upstream,
-    /// Requests that it answers, of all daemons.
+    /// Requests of all daemons that it answers.
     pub answering: u32,
-    /// Time until all that was placed is read, in milliseconds.
+    /// Time until everything placed is prefilled, in milliseconds.
     pub backlog_ms: f64,
-    /// Memory set aside, in tokens.
+    /// Memory allocated, in tokens.
     pub memory_tokens: u64,
-    /// Whether it is left out after a failure.
+    /// Whether it is ejected after a failure.
     pub is_ejected: bool,
 }
 
 impl Upstreams {
-    /// No upstream yet; what other daemons should hear goes to `news`. `salt` is
+    /// Creates a view without upstreams; updates for other daemons are sent to `updates`. `salt` is
     /// any number that differs between daemons.
     #[must_use]
     pub fn new(
         options: ChoiceOptions,
         availability_zone: AvailabilityZone,
         salt: u64,
-        news: UnboundedSender<LoadUpdate>,
+        updates: UnboundedSender<LoadUpdate>,
     ) -> Self {
-        Self::with_clock(options, availability_zone, salt, news, Instant::now)
+        Self::with_clock(options, availability_zone, salt, updates, Instant::now)
     }
 
-    /// The same, that tells the time by `clock`: a test of a load needs no more time
-    /// than its arithmetic.
+    /// Like [`Self::new`] with another clock, so that load tests can run in virtual time.
     #[must_use]
     pub fn with_clock(
         options: ChoiceOptions,
         availability_zone: AvailabilityZone,
         salt: u64,
-        news: UnboundedSender<LoadUpdate>,
+        updates: UnboundedSender<LoadUpdate>,
         clock: Clock,
     ) -> Self {
         Self(Rc::new(Shared {
             options,
             availability_zone,
-            news,
+            updates,
             salt,
             clock,
             started: clock(),
@@ -98,44 +97,51 @@
         (self.0.clock)()
     }
 
-    /// Takes over the published upstreams, with the speed of each service's engines.
+    /// Replaces the published upstreams, with the engine profile of each service.
     ///
-    /// Returns those that have started again under their id.
+    /// Returns those that have restarted under the same id.
     pub fn set_published(
         &self,
         upstreams: impl IntoIterator<Item = Upstream>,
-        figures: &HashMap<ServiceName, Rc<EngineProfile>>,
+        profiles: &HashMap<ServiceName, Rc<EngineProfile>>,
     ) -> Vec<Upstream> {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
-        let mut before: HashMap<UpstreamKey, Known> = state
-            .known
+        let mut previous: HashMap<UpstreamKey, UpstreamState> = state
+            .upstreams
             .drain(..)
-            .map(|known| (known.key, known))
+            .map(|entry| (entry.key, entry))
             .collect();
         let mut restarted = Vec::new();
-        for info in latest_at_address(upstreams) {
-            if state.lives.see(&info) {
-                restarted.push(info.clone());
+        for registration in latest_at_address(upstreams) {
+            if state.incarnations.observe(&registration) {
+                restarted.push(registration.clone());
             }
-            let service = figures.get(&info.service).cloned();
-            let known = match before.remove(&key_of(&info)) {
-                Some(known) => known.renewed(info, service),
-                None => Known::new(info, service, now),
+            let profile = profiles.get(&registration.service).cloned();
+            let entry = match previous.remove(&key_of(&registration)) {
+                Some(entry) => entry.with_registration(registration, profile),
+                None => UpstreamState::new(registration, profile, now),
             };
-            state.known.push(known);
+            state.upstreams.push(entry);
         }
-        state.known.sort_by_key(|known| known.key);
-        let State { known, lives, .. } = &mut *state;
-        let listed: HashSet<&UpstreamId> = known.iter().map(|known| &known.info.id).collect();
-        lives.retain(|id| listed.contains(id));
+        state.upstreams.sort_by_key(|entry| entry.key);
+        let State {
+            upstreams,
+            incarnations,
+            ..
+        } = &mut *state;
+        let listed: HashSet<&UpstreamId> = upstreams
+            .iter()
+            .map(|entry| &entry.registration.id)
+            .collect();
+        incarnations.retain(|id| listed.contains(id));
         restarted
     }
 
-    /// Chooses the upstreams for a request, passing over those in `tried`.
+    /// Chooses the upstreams for a request, except those in `tried`.
     ///
     /// # Errors
-    /// [`NoUpstream`] when none can take it.
+    /// [`NoUpstream`] when none can accept it.
     pub fn place(
         &self,
         service: &str,
@@ -144,7 +150,7 @@
     ) -> Result<Placement, NoUpstream> {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
-        state.forget_old(now);
+        state.remove_expired(now);
         if demand.prompt_tokens > 0 {
             let shortest = state.shortest_gap.unwrap_or(demand.gap).min(demand.gap);
             state.shortest_gap = Some(shortest);
@@ -156,9 +162,9 @@
             Err(NoUpstream::Overrun) => Some(Progress::Refused),
             Err(_) => None,
         };
-        let share = size.map(|size| (demand.request, size));
-        if let (Some((request, size)), Some(progress)) = (share, progress) {
-            self.note_progress(&mut state, request, size, progress);
+        let large_prompt = size.map(|size| (demand.request, size));
+        if let (Some((request, size)), Some(progress)) = (large_prompt, progress) {
+            self.record_progress(&mut state, request, size, progress);
         }
         let choice = choice?;
         let id = state.next_work;
@@ -166,26 +172,26 @@
         state.placed_at = Some(now);
         let expected = Duration::from_secs_f64(choice.first_event_ms / 1_000.0);
         let work = Work {
-            parts: choice.parts,
-            is_reading: demand.prompt_tokens > 0,
+            shares: choice.loads,
+            is_prefilling: demand.prompt_tokens > 0,
             expected_at: now + expected,
             gap_ms: demand.gap.as_secs_f64() * 1_000.0,
             known_since: now,
             expires_at: now + demand.time_left,
         };
-        self.tell(placed_news(id, &work, expected, demand.time_left));
-        state.add((OWN, id), work, now);
-        let life_end = state.lives.end_of(&choice.shares[0].upstream);
+        self.publish(placed_update(id, &work, expected, demand.time_left));
+        state.add((LOCAL, id), work, now);
+        let incarnation_end = state.incarnations.subscribe_end(&choice.shares[0].upstream);
         Ok(Placement {
             shares: choice.shares,
             expected_first_event: expected,
             queue_delay: Duration::from_secs_f64(choice.queue_ms / 1_000.0),
-            known_daemons: state.heard.len(),
+            known_daemons: state.last_received.len(),
             oldest_update: state.oldest_update(now),
             id,
-            is_read: false,
-            share,
-            life_end,
+            has_first_event: false,
+            large_prompt,
+            incarnation_end,
             upstreams: self.clone(),
         })
     }
@@ -199,102 +205,105 @@
         tried: &[UpstreamKey],
         now: Instant,
     ) -> Result<Choice, NoUpstream> {
-        let loads = loads(&state.known, state.works.values(), now);
-        let of_service = || {
-            let known = state.known.iter().zip(&loads);
-            known.filter(|(known, _)| known.info.service == service && !known.info.leaving)
+        let loads = loads(&state.upstreams, state.work.values(), now);
+        let available = || {
+            let entries = state.upstreams.iter().zip(&loads);
+            entries.filter(|(entry, _)| {
+                entry.registration.service == service && !entry.registration.leaving
+            })
         };
-        if of_service().next().is_none() {
+        if available().next().is_none() {
             return Err(NoUpstream::NoneKnown);
         }
-        let untried = || of_service().filter(|(known, _)| !tried.contains(&known.key));
-        let is_reachable = |(known, _): &(&Known, &Load)| {
-            !state.is_zone_silent(&known.info.availability_zone, now)
+        let not_tried = || available().filter(|(entry, _)| !tried.contains(&entry.key));
+        let is_reachable = |(entry, _): &(&UpstreamState, &Load)| {
+            !state.is_zone_unreachable(&entry.registration.availability_zone, now)
         };
-        let is_sound = |(known, _): &(&Known, &Load)| !known.health.is_ejected(now);
-        let mut open: Vec<(&Known, &Load)> = untried()
-            .filter(|one| is_sound(one) && is_reachable(one))
+        let is_not_ejected = |(entry, _): &(&UpstreamState, &Load)| !entry.health.is_ejected(now);
+        let mut open: Vec<(&UpstreamState, &Load)> = not_tried()
+            .filter(|one| is_not_ejected(one) && is_reachable(one))
             .collect();
-        // One that failed lately may be back, and costs less to try than one that can't
-        // even be reached: that takes a timeout.
+        // An ejected upstream may be back, and costs less to try than one in an unreachable zone,
+        // which takes a timeout.
         if open.is_empty() {
-            open = untried().filter(is_reachable).collect();
+            open = not_tried().filter(is_reachable).collect();
         }
         if open.is_empty() {
-            open = untried().collect();
+            open = not_tried().collect();
         }
         let candidates: Vec<Candidate<'_>> = open
             .into_iter()
             .enumerate()
-            .map(|(rank, (known, load))| Candidate {
+            .map(|(rank, (upstream, load))| Candidate {
                 load: *load,
-                known,
+                upstream,
                 rank,
-                is_connected: demand.connected.contains(&known.info.address),
+                is_connected: demand.connected.contains(&upstream.registration.address),
             })
             .collect();
-        let figures = candidates
+        let profile = candidates
             .first()
             .ok_or(NoUpstream::AllTried)?
-            .known
-            .figures
+            .upstream
+            .profile
             .clone();
         let (options, zone) = (&self.0.options, &self.0.availability_zone);
-        match figures {
-            Some(figures) if demand.prompt_tokens > 0 => {
+        match profile {
+            Some(profile) if demand.prompt_tokens > 0 => {
                 let shortest_gap = state.shortest_gap.unwrap_or(demand.gap);
-                let circumstances = Circumstances {
+                let context = ChoiceContext {
                     availability_zone: zone,
                     shortest_gap,
-                    daemons: state.heard.len(),
-                    unheard: state.shorts_of_others.per_s(now) * state.news_delay.as_secs_f64(),
+                    daemons: state.last_received.len(),
+                    unreported_short_prompts: state.remote_short_arrivals.per_s(now)
+                        * state.update_delay.as_secs_f64(),
                     draw: xxh3_64_with_seed(&state.next_work.to_le_bytes(), self.0.salt),
                     is_settling: now.saturating_duration_since(self.0.started)
                         < options.settling_time(),
-                    served_without: state.served_without(demand, size, options),
+                    served_share: state.served_share(demand, size, options),
                 };
-                choose_engines(&candidates, &figures, demand, options, circumstances)
+                choose_engines(&candidates, &profile, demand, options, context)
             }
             _ => choose_plain(&candidates, options, zone, state.next_work)
                 .ok_or(NoUpstream::AllTried),
         }
     }
 
-    /// Notes that an upstream answered.
+    /// Records an answer of an upstream.
     pub fn record_answer(&self, upstream: UpstreamKey) {
         let mut state = self.0.state.borrow_mut();
-        if let Some(known) = state.known_mut(upstream) {
-            known.health.record_answer();
+        if let Some(entry) = state.upstream_mut(upstream) {
+            entry.health.record_answer();
         }
-        self.hear_upstream(&mut state, upstream);
+        self.record_zone_contact_of(&mut state, upstream);
     }
 
-    /// Notes that bytes of an upstream came, so that its zone can be reached.
+    /// Records that an upstream sent data, so that its zone is reachable.
     pub fn received_from(&self, upstream: UpstreamKey) {
         let mut state = self.0.state.borrow_mut();
-        self.hear_upstream(&mut state, upstream);
+        self.record_zone_contact_of(&mut state, upstream);
     }
 
-    /// Sets the time after which this daemon hears of the others' placements.
+    /// Sets the time until placements of other daemons are known here.
     pub fn set_update_delay(&self, delay: Duration) {
-        self.0.state.borrow_mut().news_delay = delay;
+        self.0.state.borrow_mut().update_delay = delay;
     }
 
-    /// Notes that a zone can be reached.
+    /// Records that a zone is reachable.
     pub fn mark_zone_reachable(&self, zone: &str) {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
-        state.hear_zone(zone, &self.0.availability_zone, now);
+        state.record_zone_contact(zone, &self.0.availability_zone, now);
     }
 
-    /// Zones that are left out, as nothing can be heard of them.
+    /// Zones that are excluded, as nothing was received from them.
     #[must_use]
     pub fn unreachable_zones(&self) -> Vec<AvailabilityZone> {
         let now = self.now();
         let state = self.0.state.borrow();
-        let zones = state.zones.keys();
+        let zones = state.zone_contacts.keys();
         zones
-            .filter(|zone| state.is_zone_silent(zone, now))
+            .filter(|zone| state.is_zone_unreachable(zone, now))
             .cloned()
             .collect()
     }
@@ -306,132 +315,136 @@
         placed_at.is_some_and(|at| self.now().saturating_duration_since(at) < time)
     }
 
-    /// Other zones that have shown nothing of themselves for `silence`, each with
-    /// one of its upstreams, by which it can be tried.
+    /// Other zones without contact for `silence`, each with one of its upstreams to probe.
     #[must_use]
     pub fn probe_targets(&self, silence: Duration) -> Vec<Upstream> {
         let now = self.now();
         let state = self.0.state.borrow();
-        let is_quiet = |at: &Instant| now.saturating_duration_since(*at) >= silence;
-        let quiet = state.zones.iter().filter(|(_, at)| is_quiet(at));
-        let of_zone = |zone: &AvailabilityZone| {
-            let upstreams: Vec<&Known> = state
-                .known
+        let needs_probe = |at: &Instant| now.saturating_duration_since(*at) >= silence;
+        let zones = state.zone_contacts.iter().filter(|(_, at)| needs_probe(at));
+        let next_in_zone = |zone: &AvailabilityZone| {
+            let upstreams: Vec<&UpstreamState> = state
+                .upstreams
                 .iter()
-                .filter(|known| known.info.availability_zone == *zone && !known.info.leaving)
+                .filter(|entry| {
+                    entry.registration.availability_zone == *zone && !entry.registration.leaving
+                })
                 .collect();
             let turn = state.next_work as usize;
             upstreams
                 .get(turn % upstreams.len().max(1))
-                .map(|known| known.info.clone())
+                .map(|entry| entry.registration.clone())
         };
-        quiet.filter_map(|(zone, _)| of_zone(zone)).collect()
+        zones.filter_map(|(zone, _)| next_in_zone(zone)).collect()
     }
 
-    fn hear_upstream(&self, state: &mut State, upstream: UpstreamKey) {
+    fn record_zone_contact_of(&self, state: &mut State, upstream: UpstreamKey) {
         let zone = state
-            .known_mut(upstream)
-            .map(|known| known.info.availability_zone.clone());
+            .upstream_mut(upstream)
+            .map(|entry| entry.registration.availability_zone.clone());
         if let Some(zone) = zone {
-            state.hear_zone(&zone, &self.0.availability_zone, self.now());
+            state.record_zone_contact(&zone, &self.0.availability_zone, self.now());
         }
     }
 
-    /// Notes that an upstream failed; returns for how long it is left out, if it
-    /// is known.
+    /// Records a failure of an upstream; returns its ejection time, if the upstream is known.
     pub fn record_failure(&self, upstream: UpstreamKey, failure: Failure) -> Option<Duration> {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
-        let known = state.known_mut(upstream)?;
-        let ejected = known.health.record_failure(failure, now, &self.0.options);
-        self.tell(LoadUpdate::Failed {
+        let entry = state.upstream_mut(upstream)?;
+        let ejected = entry.health.record_failure(failure, now, &self.0.options);
+        self.publish(LoadUpdate::Failed {
             upstream,
-            ejected_ms: milliseconds(ejected),
+            ejected_ms: saturating_ms(ejected),
         });
         Some(ejected)
     }
 
-    /// Upstreams that are known.
+    /// Number of known upstreams.
     #[must_use]
     pub fn count(&self) -> usize {
-        self.0.state.borrow().known.len()
+        self.0.state.borrow().upstreams.len()
     }
 
     /// Id of an upstream.
     #[must_use]
     pub fn id_of(&self, upstream: UpstreamKey) -> Option<UpstreamId> {
         let mut state = self.0.state.borrow_mut();
-        state.known_mut(upstream).map(|known| known.info.id.clone())
+        state
+            .upstream_mut(upstream)
+            .map(|entry| entry.registration.id.clone())
     }
 
     /// Whether an upstream that was chosen may still be given work.
     #[must_use]
     pub fn accepts_work(&self, upstream: UpstreamKey) -> bool {
         let mut state = self.0.state.borrow_mut();
-        let known = state.known_mut(upstream);
-        known.is_some_and(|known| !known.info.leaving)
+        let entry = state.upstream_mut(upstream);
+        entry.is_some_and(|entry| !entry.registration.leaving)
     }
 
-    /// Whether an upstream is registered, in this life.
+    /// Whether this incarnation of an upstream is registered.
     #[must_use]
     pub fn is_known(&self, upstream: UpstreamKey) -> bool {
-        self.0.state.borrow_mut().known_mut(upstream).is_some()
+        self.0.state.borrow_mut().upstream_mut(upstream).is_some()
     }
 
-    /// Whether a later life of an upstream is registered.
+    /// Whether a later incarnation of an upstream is registered.
     #[must_use]
     pub fn has_restarted(&self, upstream: &Upstream) -> bool {
         let state = self.0.state.borrow();
-        let mut same = state.known.iter().map(|known| &known.info);
-        same.any(|info| info.id == upstream.id && info.started_at_ms > upstream.started_at_ms)
+        let mut same = state.upstreams.iter().map(|entry| &entry.registration);
+        same.any(|registration| {
+            registration.id == upstream.id && registration.started_at_ms > upstream.started_at_ms
+        })
     }
 
-    /// Whether an upstream said that it leaves.
+    /// Whether an upstream has announced its shutdown.
     #[must_use]
     pub fn is_leaving(&self, upstream: UpstreamKey) -> bool {
         let mut state = self.0.state.borrow_mut();
-        let known = state.known_mut(upstream);
-        known.is_some_and(|known| known.info.leaving)
+        let entry = state.upstream_mut(upstream);
+        entry.is_some_and(|entry| entry.registration.leaving)
     }
 
-    /// The upstream that listens at `address`.
+    /// The upstream that listens on `address`.
     #[must_use]
     pub fn at_address(&self, address: SocketAddr) -> Option<UpstreamKey> {
         let state = self.0.state.borrow();
-        let mut known = state.known.iter();
-        known
-            .find(|known| known.info.address == address)
-            .map(|known| known.key)
+        let mut entry = state.upstreams.iter();
+        entry
+            .find(|entry| entry.registration.address == address)
+            .map(|entry| entry.key)
     }
 
-    /// The view, for a status page.
+    /// State of all upstreams, for a status page.
     #[must_use]
     pub fn status(&self) -> Vec<UpstreamStatus> {
         let now = self.now();
         let state = self.0.state.borrow();
-        let loads = loads(&state.known, state.works.values(), now);
-        let status = |(known, load): (&Known, &Load)| UpstreamStatus {
-            upstream: known.info.clone(),
+        let loads = loads(&state.upstreams, state.work.values(), now);
+        let status = |(entry, load): (&UpstreamState, &Load)| UpstreamStatus {
+            upstream: entry.registration.clone(),
             answering: load.answering,
             backlog_ms: load.backlog_ms,
             memory_tokens: load.memory_tokens,
-            is_ejected: known.health.is_ejected(now),
+            is_ejected: entry.health.is_ejected(now),
         };
-        state.known.iter().zip(&loads).map(status).collect()
+        state.upstreams.iter().zip(&loads).map(status).collect()
     }
 
-    fn tell(&self, news: LoadUpdate) {
-        // Without a listener there are no other daemons to hear it.
-        let _ = self.0.news.unbounded_send(news);
+    fn publish(&self, update: LoadUpdate) {
+        // Without a receiver there are no other daemons to inform.
+        let _ = self.0.updates.unbounded_send(update);
     }
 }
 
-/// The upstreams without those whose address a later one has.
+/// Drops the upstreams whose address was registered again later.
 fn latest_at_address(upstreams: impl IntoIterator<Item = Upstream>) -> Vec<Upstream> {
     let mut latest: HashMap<SocketAddr, Upstream> = HashMap::new();
     for upstream in upstreams {
-        let before = latest.get(&upstream.address);
-        if before.is_none_or(|before| before.registered_at <= upstream.registered_at) {
+        let previous = latest.get(&upstream.address);
+        if previous.is_none_or(|previous| previous.registered_at <= upstream.registered_at) {
             latest.insert(upstream.address, upstream);
         }
     }
--- a/crates/engines/src/upstreams/crash_records.rs
+++ b/crates/engines/src/upstreams/crash_records.rs
@@ -1,40 +1,42 @@
-//! Requests under which upstreams crashed, in this daemon's view.
+//! Crash histories of requests, as this daemon sees them.
 
 use std::time::Instant;
 
 use super::Upstreams;
-use crate::crashes::{CRASHES_LIMIT, CrashStatus, QuarantineState};
+use crate::crashes::{CrashStatus, QUARANTINE_CRASHES, QuarantineState};
 use crate::large_prompts::RequestFingerprint;
-use crate::load_update::crashes_news;
+use crate::load_update::crashes_update;
 use crate::state::State;
 use crate::work::UpstreamKey;
 
 impl Upstreams {
-    /// Notes that an upstream crashed while it ran a request of this daemon; how many did
-    /// under that request.
+    /// Records that an upstream crashed while it ran a request of this daemon; returns the number
+    /// of crashes under that request.
     pub fn record_crash(&self, request: RequestFingerprint, upstream: UpstreamKey) -> usize {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
-        state.crashes.note(request, upstream, now);
-        self.tell_crashes(&state, request, now);
+        state.crashes.record_crash(request, upstream, now);
+        self.publish_crashes(&state, request, now);
         match state.crashes.quarantine_state(request, now) {
             QuarantineState::Open { crashes } => crashes,
-            QuarantineState::Quarantined { .. } | QuarantineState::TrialAllowed => CRASHES_LIMIT,
+            QuarantineState::Quarantined { .. } | QuarantineState::TrialAllowed => {
+                QUARANTINE_CRASHES
+            }
         }
     }
 
-    /// Notes that a request is not at fault for crashes so far, as an upstream answered
-    /// it whole or the operator says so; whether there were any.
+    /// Clears a request of its crashes so far, as an upstream answered it completely or the
+    /// operator says so; returns whether there were any.
     pub fn clear_crashes(&self, request: RequestFingerprint) -> bool {
         let mut state = self.0.state.borrow_mut();
         let had_any = state.crashes.clear(request);
         if had_any {
-            self.tell_crashes(&state, request, self.now());
+            self.publish_crashes(&state, request, self.now());
         }
         had_any
     }
 
-    /// Whether a request may be sent to an upstream, after crashes under it.
+    /// Whether a request may be sent to an upstream.
     #[must_use]
     pub fn quarantine_state(&self, request: RequestFingerprint) -> QuarantineState {
         self.0
@@ -44,30 +46,30 @@
             .quarantine_state(request, self.now())
     }
 
-    /// Whether one more crash would keep a request from all upstreams, or it is already.
+    /// Whether a request is quarantined, or would be after one more crash.
     #[must_use]
     pub fn is_near_quarantine(&self, request: RequestFingerprint) -> bool {
         match self.quarantine_state(request) {
-            QuarantineState::Open { crashes } => crashes + 1 >= CRASHES_LIMIT,
+            QuarantineState::Open { crashes } => crashes + 1 >= QUARANTINE_CRASHES,
             QuarantineState::Quarantined { .. } | QuarantineState::TrialAllowed => true,
         }
     }
 
-    /// Keeps others from trying a request while this daemon does.
+    /// Prevents other trials of a request while this daemon runs one.
     pub fn begin_trial(&self, request: RequestFingerprint) {
         let now = self.now();
         self.0.state.borrow_mut().crashes.begin_trial(request, now);
     }
 
-    /// Requests that are kept from upstreams, for a status page.
+    /// Quarantined requests, for a status page.
     #[must_use]
     pub fn quarantined(&self) -> Vec<CrashStatus> {
         self.0.state.borrow().crashes.status(self.now())
     }
 
-    pub(super) fn tell_crashes(&self, state: &State, request: RequestFingerprint, now: Instant) {
+    pub(super) fn publish_crashes(&self, state: &State, request: RequestFingerprint, now: Instant) {
         if let Some(record) = state.crashes.record(request, now) {
-            self.tell(crashes_news(request, record));
+            self.publish(crashes_update(request, record));
         }
     }
 }
--- a/crates/engines/src/upstreams/updates.rs
+++ b/crates/engines/src/upstreams/updates.rs
@@ -1,65 +1,69 @@
-//! What daemons tell each other of their requests, told and taken in.
+//! Updates exchanged with the other daemons.
 
 use std::time::Duration;
 
 use super::Upstreams;
-use crate::crashes::Record;
+use crate::crashes::CrashRecord;
 use crate::large_prompts::{Progress, RequestFingerprint, SizeClass};
-use crate::load_update::{IncarnationId, LoadUpdate, crashes_news, part_of, placed_news};
-use crate::state::{OWN, State};
+use crate::load_update::{IncarnationId, LoadUpdate, crashes_update, placed_update, share_load};
+use crate::state::{LOCAL, State};
 use crate::work::{Work, WorkId};
 
-/// Requests of whose crashes a daemon tells again each second, of those that it saw.
-const REPEATED_CRASHES: usize = 16;
+/// Maximum number of requests whose crashes, observed by this daemon, are broadcast again every
+/// second.
+const REBROADCAST_CRASHES: usize = 16;
 
-/// Requests of whose crashes a daemon tells one that has just started.
-const INTRODUCED_CRASHES: usize = 8;
+/// Maximum number of requests whose crashes are part of a snapshot.
+const SNAPSHOT_CRASHES: usize = 8;
 
 impl Upstreams {
-    /// Takes in news of another daemon; whether it has requests that are not known
-    /// here, so that it should introduce itself again.
+    /// Applies an update of another daemon; returns whether that daemon has requests that are
+    /// unknown here, so that it should send a snapshot again.
     ///
-    /// LoadUpdate are lost while a zone is cut off. Without those of the requests that
-    /// were placed meanwhile, engines full of them would look idle afterwards.
-    pub fn apply_update(&self, origin: IncarnationId, news: LoadUpdate) -> bool {
+    /// Updates are lost while a zone is partitioned. Without those about requests placed meanwhile,
+    /// engines full of them would look idle afterwards.
+    pub fn apply_update(&self, origin: IncarnationId, update: LoadUpdate) -> bool {
         let now = self.now();
         let mut state = self.0.state.borrow_mut();
-        state.heard.insert(origin, now);
-        match news {
+        state.last_received.insert(origin, now);
+        match update {
             LoadUpdate::Placed {
                 work,
-                parts,
+                shares,
                 gap_ms,
                 expected_in_ms,
                 expires_in_ms,
             } => {
                 let work_key = (origin, work);
-                let heard = Work {
-                    is_reading: parts.iter().any(|part| part.read_us > 0),
-                    parts: parts.iter().map(part_of).collect(),
+                let received = Work {
+                    is_prefilling: shares.iter().any(|share| share.prefill_us > 0),
+                    shares: shares.iter().map(share_load).collect(),
                     expected_at: now + Duration::from_millis(u64::from(expected_in_ms)),
                     gap_ms: f64::from(gap_ms),
                     known_since: now,
                     expires_at: now + Duration::from_millis(u64::from(expires_in_ms)),
                 };
-                if heard.is_reading && heard.parts.len() == 1 {
-                    state.shorts_of_others.note(now);
+                if received.is_prefilling && received.shares.len() == 1 {
+                    state.remote_short_arrivals.record(now);
                 }
-                state.add(work_key, heard, now);
+                state.add(work_key, received, now);
             }
-            LoadUpdate::FirstEvent { work } => state.mark_read(&(origin, work)),
+            LoadUpdate::FirstEvent { work } => state.mark_first_event(&(origin, work)),
             LoadUpdate::Ended { work } => {
-                state.works.remove(&(origin, work));
+                state.work.remove(&(origin, work));
             }
-            LoadUpdate::Running { reading, writing } => {
-                return state.set_running(origin, &reading, &writing, now);
+            LoadUpdate::Running {
+                prefilling,
+                decoding,
+            } => {
+                return state.reconcile(origin, &prefilling, &decoding, now);
             }
             LoadUpdate::Progress {
                 request,
                 size,
                 progress,
             } => {
-                state.shares.note(request, size, progress, now);
+                state.large_prompts.record(request, size, progress, now);
             }
             LoadUpdate::Crashes {
                 request,
@@ -67,14 +71,14 @@
                 cleared,
                 since_ms,
             } => {
-                let record = Record {
+                let record = CrashRecord {
                     crashed,
                     cleared,
                     since: Duration::from_millis(u64::from(since_ms)),
                 };
                 state.crashes.merge(request, &record, now);
-                if state.crashes.has_cleared_more(request, &record) {
-                    self.tell_crashes(&state, request, now);
+                if state.crashes.has_newer_clearing(request, &record) {
+                    self.publish_crashes(&state, request, now);
                 }
             }
             LoadUpdate::Failed {
@@ -83,98 +87,104 @@
             } => {
                 let time = Duration::from_millis(u64::from(ejected_ms));
                 let time = time.min(self.0.options.first_ejection());
-                if let Some(known) = state.known_mut(upstream) {
-                    known.health.leave_out(time, now);
+                if let Some(entry) = state.upstream_mut(upstream) {
+                    entry.health.eject_for(time, now);
                 }
             }
         }
         false
     }
 
-    /// Forgets the work of a daemon that is gone.
+    /// Drops the requests of a daemon that is gone.
     pub fn remove_daemon(&self, origin: IncarnationId) {
         let mut state = self.0.state.borrow_mut();
-        state.works.retain(|key, _| key.0 != origin);
-        state.heard.remove(&origin);
+        state.work.retain(|key, _| key.0 != origin);
+        state.last_received.remove(&origin);
     }
 
-    /// All requests of this daemon that have not ended, as a daemon that has just
-    /// started, or was out of reach, has to hear of them.
+    /// All unfinished requests of this daemon, for a daemon that has just started or was
+    /// unreachable.
     #[must_use]
     pub fn load_snapshot(&self) -> Vec<LoadUpdate> {
         let now = self.now();
         let state = self.0.state.borrow();
-        let own = state.works.iter().filter(|(key, _)| key.0 == OWN);
-        let mut news = Vec::new();
-        for ((_, id), work) in own {
+        let local = state.work.iter().filter(|(key, _)| key.0 == LOCAL);
+        let mut updates = Vec::new();
+        for ((_, id), work) in local {
             let expected = work.expected_at.saturating_duration_since(now);
-            let left = work.expires_at.saturating_duration_since(now);
-            news.push(placed_news(*id, work, expected, left));
-            if !work.is_reading {
-                news.push(LoadUpdate::FirstEvent { work: *id });
+            let remaining = work.expires_at.saturating_duration_since(now);
+            updates.push(placed_update(*id, work, expected, remaining));
+            if !work.is_prefilling {
+                updates.push(LoadUpdate::FirstEvent { work: *id });
             }
         }
-        let worst = state.crashes.worst(INTRODUCED_CRASHES, false).into_iter();
-        let records = worst.filter_map(|request| {
+        let most_crashes = state
+            .crashes
+            .with_most_crashes(SNAPSHOT_CRASHES, false)
+            .into_iter();
+        let records = most_crashes.filter_map(|request| {
             let record = state.crashes.record(request, now)?;
-            Some(crashes_news(request, record))
+            Some(crashes_update(request, record))
         });
-        news.extend(records);
-        news
+        updates.extend(records);
+        updates
     }
 
-    /// Tells the other daemons of all requests that have not ended.
+    /// Broadcasts the list of unfinished requests to the other daemons.
     pub fn broadcast_running(&self) {
         let state = self.0.state.borrow();
-        let own = || state.works.iter().filter(|(key, _)| key.0 == OWN);
+        let local = || state.work.iter().filter(|(key, _)| key.0 == LOCAL);
         let now = self.now();
-        for request in state.crashes.worst(REPEATED_CRASHES, true) {
-            self.tell_crashes(&state, request, now);
+        for request in state.crashes.with_most_crashes(REBROADCAST_CRASHES, true) {
+            self.publish_crashes(&state, request, now);
         }
-        let of = |is_reading| {
-            own()
-                .filter(move |(_, work)| work.is_reading == is_reading)
+        let ids = |is_prefilling| {
+            local()
+                .filter(move |(_, work)| work.is_prefilling == is_prefilling)
                 .map(|(key, _)| key.1)
                 .collect()
         };
-        self.tell(LoadUpdate::Running {
-            reading: of(true),
-            writing: of(false),
+        self.publish(LoadUpdate::Running {
+            prefilling: ids(true),
+            decoding: ids(false),
         });
     }
 
-    /// Notes that the first event of an own request came.
-    pub(crate) fn note_read(&self, id: WorkId) {
-        self.0.state.borrow_mut().mark_read(&(OWN, id));
-        self.tell(LoadUpdate::FirstEvent { work: id });
+    /// Records the first event of a request of this daemon.
+    pub(crate) fn record_first_event(&self, id: WorkId) {
+        self.0.state.borrow_mut().mark_first_event(&(LOCAL, id));
+        self.publish(LoadUpdate::FirstEvent { work: id });
     }
 
-    /// Notes that an own request ended.
-    pub(crate) fn note_ended(&self, id: WorkId) {
-        self.0.state.borrow_mut().works.remove(&(OWN, id));
-        self.tell(LoadUpdate::Ended { work: id });
+    /// Records the end of a request of this daemon.
+    pub(crate) fn record_end(&self, id: WorkId) {
+        self.0.state.borrow_mut().work.remove(&(LOCAL, id));
+        self.publish(LoadUpdate::Ended { work: id });
     }
 
-    /// Notes what became of an own request that is among the largest.
-    pub(crate) fn note_end(
+    /// Records the outcome of a request of this daemon that is one of the largest.
+    pub(crate) fn record_outcome(
         &self,
         request: RequestFingerprint,
         size: SizeClass,
         progress: Progress,
     ) {
         let mut state = self.0.state.borrow_mut();
-        self.note_progress(&mut state, request, size, progress);
+        self.record_progress(&mut state, request, size, progress);
     }
 
-    pub(super) fn note_progress(
+    pub(super) fn record_progress(
         &self,
         state: &mut State,
         request: RequestFingerprint,
         size: SizeClass,
         progress: Progress,
     ) {
-        if state.shares.note(request, size, progress, self.now()) {
-            self.tell(LoadUpdate::Progress {
+        if state
+            .large_prompts
+            .record(request, size, progress, self.now())
+        {
+            self.publish(LoadUpdate::Progress {
                 request,
                 size,
                 progress,
--- a/crates/engines/src/work.rs
+++ b/crates/engines/src/work.rs
@@ -1,50 +1,50 @@
-//! One request at the upstreams that work on it.
+//! Work of one request on its upstreams.
 
 use std::time::Instant;
 
 use mangofront_routes::Upstream;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Short name of an upstream's life, the same at all daemons.
+/// Hash that identifies an incarnation of an upstream, the same at all daemons.
 pub type UpstreamKey = u64;
 
-/// Number of a request, unique within the daemon that placed it.
+/// Id of a request, unique within the daemon that placed it.
 pub type WorkId = u64;
 
-/// Short name of this life of an upstream.
+/// Hash that identifies this incarnation of an upstream.
 ///
-/// Another life under the same id has another name, so whatever was believed of
-/// the one before, and whatever peers still tell of it, does not touch it.
+/// Another incarnation under the same id has another key, so the state of the earlier one, and
+/// updates that still arrive about it, don't affect it.
 #[must_use]
 pub fn key_of(upstream: &Upstream) -> UpstreamKey {
     xxh3_64_with_seed(upstream.id.as_bytes(), upstream.started_at_ms)
 }
 
-/// A part of a prompt that an upstream reads, and the memory it sets aside.
+/// The load that a request's share puts on an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Part {
+pub(crate) struct ShareLoad {
     pub(crate) upstream: UpstreamKey,
-    /// Time to read it, in milliseconds.
-    pub(crate) read_ms: f64,
-    /// Memory set aside, in tokens.
+    /// Prefill time, in milliseconds.
+    pub(crate) prefill_ms: f64,
+    /// Memory allocated, in tokens.
     pub(crate) memory_tokens: u64,
-    /// Context that each step costs here while the answer is written, in tokens.
+    /// Context added to each decode step here, in tokens.
     pub(crate) context_tokens: u64,
 }
 
-/// One request that was placed and has not ended.
+/// A placed request that has not ended.
 #[derive(Debug, Clone)]
 pub(crate) struct Work {
-    /// Parts; the first one's upstream answers.
-    pub(crate) parts: Vec<Part>,
-    /// Whether the first event is still awaited.
-    pub(crate) is_reading: bool,
+    /// Shares of the request; the upstream of the first one answers.
+    pub(crate) shares: Vec<ShareLoad>,
+    /// Whether the first event is still pending.
+    pub(crate) is_prefilling: bool,
     /// When the first event was expected.
     pub(crate) expected_at: Instant,
-    /// Longest pause between events of an answer in time, in milliseconds.
+    /// Longest gap between events for the answer to count as on time, in milliseconds.
     pub(crate) gap_ms: f64,
-    /// When it was placed, or heard of.
+    /// When it was placed, or reported by another daemon.
     pub(crate) known_since: Instant,
-    /// When it is forgotten, should its end never be heard of.
+    /// When it is dropped if its end is never reported.
     pub(crate) expires_at: Instant,
 }
--- a/crates/engines/tests/engines/choice.rs
+++ b/crates/engines/tests/engines/choice.rs
@@ -1,32 +1,34 @@
-//! Which engines are chosen.
+//! Choice of the engines.
 
 use std::time::Duration;
 
 use mangofront_engines::{ChoiceOptions, Demand, NoUpstream, Placement};
 
-use crate::support::{Fleet, SERVICE, after, demand, question, review, upstream};
+use crate::support::{
+    Fleet, SERVICE, after_waiting, demand, long_request, short_request, upstream,
+};
 
-/// Time after which a review joins any queue.
-const LATE_MS: u64 = 7_600;
+/// Time after which a long request joins any queue.
+const LATE_AFTER_MS: u64 = 7_600;
 
-/// Engines that have two long reviews to read, 3.8 s of one engine's time.
+/// Engines with two long prompts to prefill, 3.8 s of one engine's time.
 fn busy_engines(count: usize) -> (Fleet, Vec<Placement>) {
-    let fleet = Fleet::at_one_moment(count);
+    let fleet = Fleet::with_fixed_clock(count);
     let running = (0..2)
         .map(|_| {
             fleet
-                .place(&after(&review(130_000), LATE_MS))
-                .expect("late ones join any queue")
+                .place(&after_waiting(&long_request(130_000), LATE_AFTER_MS))
+                .expect("a late request joins any queue")
         })
         .collect();
     (fleet, running)
 }
 
 #[test]
-fn readers_grow_with_the_prompt() {
-    let readers = |tokens| {
+fn engine_count_grows_with_prompt_length() {
+    let shares = |tokens| {
         let fleet = Fleet::new(23);
-        let placed = fleet.place(&review(tokens)).unwrap();
+        let placed = fleet.place(&long_request(tokens)).unwrap();
         let reserved = placed
             .shares
             .iter()
@@ -34,91 +36,95 @@
         (tokens, placed.shares.len(), reserved.count())
     };
     insta::assert_debug_snapshot!([
-        readers(1_000),
-        readers(15_000),
-        readers(45_000),
-        readers(133_000),
-        readers(230_000),
-        readers(300_000),
-        readers(600_000),
+        shares(1_000),
+        shares(15_000),
+        shares(45_000),
+        shares(133_000),
+        shares(230_000),
+        shares(300_000),
+        shares(600_000),
     ]);
 }
 
 #[test]
-fn reservations_hold_what_the_first_engine_can_not() {
+fn reservations_cover_what_the_answering_engine_cannot_hold() {
     let fleet = Fleet::new(23);
-    let placed = fleet.place(&review(600_000)).unwrap();
+    let placed = fleet.place(&long_request(600_000)).unwrap();
     let reserved: u64 = placed
         .shares
         .iter()
         .filter_map(|one| one.reserve_tokens)
         .sum();
-    let kept = 600_000 - reserved;
+    let unreserved = 600_000 - reserved;
     assert!(
-        kept + 1_000 <= 232_000,
-        "{kept} tokens stay at the engine that answers"
+        unreserved + 1_000 <= 232_000,
+        "{unreserved} tokens stay at the engine that answers"
     );
     assert_eq!(placed.shares[0].reserve_tokens, None);
     assert!(
         placed
             .shares
             .iter()
-            .all(|one| one.reserve_tokens.is_none_or(|t| t <= 232_000))
+            .all(|one| one.reserve_tokens.is_none_or(|tokens| tokens <= 232_000))
     );
 }
 
 #[test]
-fn long_prompts_leave_engines_to_short_ones() {
+fn long_prompts_avoid_engines_with_short_ones() {
     let fleet = Fleet::new(12);
     let mut short = Vec::new();
     for _ in 0..20 {
-        let mut placed = fleet.place(&question()).unwrap();
+        let mut placed = fleet.place(&short_request()).unwrap();
         placed.record_first_event();
         short.push(placed);
     }
     let engines = |placed: &[Placement]| {
         let ids = placed
             .iter()
-            .flat_map(|one| one.shares.iter().map(|r| r.upstream.id.clone()));
+            .flat_map(|one| one.shares.iter().map(|share| share.upstream.id.clone()));
         ids.collect::<std::collections::BTreeSet<_>>()
     };
-    let long = [fleet.place(&review(133_000)).unwrap()];
+    let long = [fleet.place(&long_request(133_000)).unwrap()];
     assert!(
         engines(&short).len() <= 4,
-        "short ones share: {:?}",
+        "short requests share: {:?}",
         engines(&short)
     );
     assert!(engines(&short).is_disjoint(&engines(&long)));
 }
 
 #[test]
-fn a_long_prompt_waits_while_engines_are_busy_and_is_then_put_in() {
+fn a_long_prompt_is_held_while_engines_are_busy_and_then_sent() {
     let (fleet, _running) = busy_engines(4);
-    let waiting = review(130_000);
-    assert_eq!(fleet.place(&waiting).unwrap_err(), NoUpstream::Busy);
-    assert!(fleet.place(&question()).is_ok(), "short ones do not wait");
-    // Half of its target, and three halves: it is late, and breaks nothing by waiting on.
+    let held = long_request(130_000);
+    assert_eq!(fleet.place(&held).unwrap_err(), NoUpstream::Busy);
+    assert!(
+        fleet.place(&short_request()).is_ok(),
+        "short requests are not held"
+    );
+    // At half of its target, and at one and a half of it: the request is late by then, and holding
+    // it on does no harm.
     for waited_ms in [1_300, 3_800] {
-        let refused = fleet.place(&after(&waiting, waited_ms)).unwrap_err();
+        let refused = fleet.place(&after_waiting(&held, waited_ms)).unwrap_err();
         assert_eq!(refused, NoUpstream::Busy);
     }
-    assert!(fleet.place(&after(&waiting, LATE_MS)).is_ok());
+    assert!(fleet.place(&after_waiting(&held, LATE_AFTER_MS)).is_ok());
 }
 
-/// A long prompt waits rather than make the answers late that are in time.
+/// A long prompt is held rather than delay answers that are on time.
 #[test]
-fn a_prompt_that_is_held_back_breaks_no_pauses() {
+fn a_held_prompt_exceeds_no_gap_limits() {
     let answers = |count: usize, tokens: u64| {
         let fleet = Fleet::new(6);
         let _short: Vec<Placement> = (0..count)
             .map(|_| {
-                let mut placed = fleet.place(&question()).unwrap();
+                let mut placed = fleet.place(&short_request()).unwrap();
                 placed.record_first_event();
                 placed
             })
             .collect();
-        let _running = [fleet.place(&review(130_000)).unwrap()];
-        let long = after(&review(tokens), 1_300);
+        let _running = [fleet.place(&long_request(130_000)).unwrap()];
+        let long = after_waiting(&long_request(tokens), 1_300);
         let placed = fleet.place(&long).map(|placed| placed.shares.len());
         (count, tokens, placed)
     };
@@ -130,31 +136,32 @@
     ]);
 }
 
-/// A review that may be refused, some time after it came.
+/// A long request that may be refused, some time after its arrival.
 fn refusable(tokens: u64, elapsed_ms: u64) -> Demand {
     Demand {
         is_refusable: true,
-        ..after(&review(tokens), elapsed_ms)
+        ..after_waiting(&long_request(tokens), elapsed_ms)
     }
 }
 
-/// Callers whose reviews of a size were served, by the numbers of their requests.
-fn served_before(fleet: &Fleet, tokens: u64, requests: std::ops::Range<u128>) {
+/// Records complete answers to late long requests of one size, numbered by `requests`.
+fn record_served(fleet: &Fleet, tokens: u64, requests: std::ops::Range<u128>) {
     for request in requests {
-        let review = Demand {
+        let late = Demand {
             request,
-            ..after(&review(tokens), LATE_MS)
+            ..after_waiting(&long_request(tokens), LATE_AFTER_MS)
         };
         fleet
-            .place(&review)
-            .expect("it is placed")
+            .place(&late)
+            .expect("a late request is placed")
             .record_complete();
     }
 }
 
-/// Guards against a size being refused more often than is promised, whatever the peak.
+/// Guards against more refusals in a size class than the promised share allows, whatever the load
+/// peak.
 #[test]
-fn of_the_longest_prompts_most_are_placed_at_any_peak() {
+fn most_of_the_longest_prompts_are_placed_in_any_peak() {
     let (fleet, mut running) = busy_engines(4);
     let mut outcomes = String::new();
     for request in 1..=16 {
@@ -164,7 +171,7 @@
         };
         let late = Demand {
             request,
-            ..refusable(220_000, LATE_MS)
+            ..refusable(220_000, LATE_AFTER_MS)
         };
         match fleet.place(&longest) {
             Err(NoUpstream::Overrun) => outcomes.push('r'),
@@ -178,19 +185,19 @@
                 outcomes.push('p');
             }
         }
-        // One of each size counts as served before any is known.
+        // One request of each size class counts as served from the start.
         let placed = outcomes.matches('p').count() + 1;
         assert!(placed * 100 >= 60 * (outcomes.len() + 1), "{outcomes}");
     }
     insta::assert_snapshot!(outcomes, @"prprpprprpprprpp");
 }
 
-/// Guards against a caller that comes back being counted as one more of its size, which
+/// Guards against each retry of a caller being counted as another request of its size class, which
 /// would let others be refused in its place.
 #[test]
 fn a_caller_that_is_refused_again_counts_once() {
     let (fleet, _running) = busy_engines(4);
-    served_before(&fleet, 220_000, 1..2);
+    record_served(&fleet, 220_000, 1..2);
     let outcome = |request: u128| {
         let longest = Demand {
             request,
@@ -203,76 +210,80 @@
     assert_eq!(outcomes, [refused, refused, refused, held, refused, held]);
 }
 
-/// Guards against each daemon counting only the few of a size that it meets itself.
+/// Guards against each daemon counting only the few requests of a size class that it receives
+/// itself.
 #[test]
-fn what_other_daemons_served_of_a_size_counts() {
-    let (mut other, _of_other) = busy_engines(4);
-    other.told();
-    served_before(&other, 220_000, 1..3);
+fn prompts_served_by_other_daemons_count() {
+    let (mut other, _running_there) = busy_engines(4);
+    other.sent_updates();
+    record_served(&other, 220_000, 1..3);
     let (fleet, _running) = busy_engines(4);
     let longest = Demand {
         request: 7,
         ..refusable(220_000, 2_400)
     };
     assert_eq!(fleet.place(&longest).unwrap_err(), NoUpstream::Busy);
-    for news in other.told() {
-        fleet.upstreams.apply_update(1, news);
+    for update in other.sent_updates() {
+        fleet.upstreams.apply_update(1, update);
     }
     assert_eq!(fleet.place(&longest).unwrap_err(), NoUpstream::Overrun);
 }
 
-/// Guards against prompts of a size that was served too seldom being held until they can
-/// no longer be answered.
+/// Guards against prompts being held until they can no longer be answered although too few of their
+/// size class were served.
 #[test]
-fn a_size_that_was_lost_too_often_is_held_no_longer() {
+fn a_size_class_lost_too_often_is_no_longer_held() {
     let (fleet, _running) = busy_engines(4);
     let late = |request: u128| Demand {
         request,
-        ..after(&review(220_000), 3_000)
+        ..after_waiting(&long_request(220_000), 3_000)
     };
-    served_before(&fleet, 220_000, 1..2);
+    record_served(&fleet, 220_000, 1..2);
     assert_eq!(fleet.place(&late(3)).unwrap_err(), NoUpstream::Busy);
-    // Placed, and not answered whole.
+    // Placed, but not answered completely.
     for request in 4..6 {
-        drop(fleet.place(&after(&late(request), LATE_MS)));
+        drop(fleet.place(&after_waiting(&late(request), LATE_AFTER_MS)));
     }
     assert!(fleet.place(&late(3)).is_ok());
 }
 
-/// Held while it can be in time, refused once it can't, or at once if it is hopeless.
+/// Held while it can be on time, refused once it can't, or on arrival if holding it is futile.
 #[test]
-fn a_long_prompt_is_held_until_it_can_not_be_in_time() {
+fn a_long_prompt_is_held_while_it_can_be_on_time() {
     let (fleet, _running) = busy_engines(8);
     let outcome = |demand: &Demand| fleet.place(demand).map(|placed| placed.shares.len());
     let unknown_size = refusable(220_000, 2_000);
-    served_before(&fleet, 300_000, 9..12);
-    served_before(&fleet, 170_000, 1..9);
+    record_served(&fleet, 300_000, 9..12);
+    record_served(&fleet, 170_000, 1..9);
     insta::assert_debug_snapshot!([
         (
-            "keeps all busy for over a second",
+            "occupies all engines for over a second",
             outcome(&refusable(300_000, 0))
         ),
-        ("came just now", outcome(&refusable(170_000, 0))),
-        ("came 0.4 s ago", outcome(&refusable(170_000, 400))),
-        ("came 2 s ago", outcome(&refusable(170_000, 2_000))),
-        ("nothing known of its size", outcome(&unknown_size)),
+        ("just arrived", outcome(&refusable(170_000, 0))),
+        ("arrived 0.4 s ago", outcome(&refusable(170_000, 400))),
+        ("arrived 2 s ago", outcome(&refusable(170_000, 2_000))),
+        ("no prompts of its size class known", outcome(&unknown_size)),
         (
-            "within one engine's target",
+            "within the target of one engine",
             outcome(&refusable(130_000, 2_000))
         ),
-        ("was sent before", outcome(&after(&review(170_000), 2_000))),
-        ("read in 0.3 s", outcome(&refusable(40_000, 0))),
+        (
+            "was sent before",
+            outcome(&after_waiting(&long_request(170_000), 2_000))
+        ),
+        ("prefilled in 0.3 s", outcome(&refusable(40_000, 0))),
     ]);
 }
 
-/// A caller that comes back late is not held until its time is over.
+/// A late prompt is not held until its caller's time is over.
 #[test]
-fn a_late_prompt_is_sent_while_it_can_be_read() {
+fn a_late_prompt_is_sent_while_there_is_time_to_prefill_it() {
     let (fleet, _running) = busy_engines(8);
     let outcome = |time_left_ms: u64| {
         let late = Demand {
             time_left: Duration::from_millis(time_left_ms),
-            ..after(&review(170_000), 2_000)
+            ..after_waiting(&long_request(170_000), 2_000)
         };
         fleet.place(&late).map(|placed| placed.shares.len())
     };
@@ -285,27 +296,27 @@
     let fleet = Fleet::new(2);
     let mut placed = Vec::new();
     let refused = loop {
-        match fleet.place(&question()) {
+        match fleet.place(&short_request()) {
             Ok(one) => placed.push(one),
             Err(refused) => break refused,
         }
     };
     assert_eq!((refused, placed.len()), (NoUpstream::Full, 34));
     placed.pop();
-    assert!(fleet.place(&question()).is_ok());
+    assert!(fleet.place(&short_request()).is_ok());
 }
 
 #[test]
 fn a_prompt_larger_than_all_memory_is_refused_after_waiting() {
     let fleet = Fleet::new(2);
-    let mut huge = review(600_000);
+    let mut huge = long_request(600_000);
     assert_eq!(fleet.place(&huge).unwrap_err(), NoUpstream::Busy);
     huge.waited = Duration::from_secs(2);
     assert_eq!(fleet.place(&huge).unwrap_err(), NoUpstream::TooLarge);
 }
 
 #[test]
-fn plain_services_take_the_least_loaded() {
+fn plain_services_use_the_least_loaded_upstream() {
     let listed: Vec<_> = (0..3)
         .map(|number| upstream(number, "fleet-ops", "hall-a"))
         .collect();
@@ -336,7 +347,9 @@
         };
         let listed = (0..12).map(|number| upstream(number, SERVICE, "hall-a"));
         let fleet = Fleet::with_options(listed.collect(), options);
-        let placed: Vec<Placement> = (0..12).map(|_| fleet.place(&question()).unwrap()).collect();
+        let placed: Vec<Placement> = (0..12)
+            .map(|_| fleet.place(&short_request()).unwrap())
+            .collect();
         let ids = placed.iter().map(|one| one.answering().id.clone());
         ids.collect::<std::collections::BTreeSet<_>>().len()
     };
--- a/crates/engines/tests/engines/crashes.rs
+++ b/crates/engines/tests/engines/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams crashed.
+//! Crash histories of requests, and their quarantine.
 
 use std::cell::Cell;
 use std::sync::OnceLock;
@@ -10,107 +10,104 @@
 
 const REQUEST: u128 = 7;
 
-/// Time for which a request is kept after the third crash.
+/// Quarantine after the third crash.
 const QUARANTINE: Duration = Duration::from_secs(60);
 
 thread_local! {
-    static VIRTUAL: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+    static VIRTUAL_TIME: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
 fn clock() -> Instant {
-    static BASE: OnceLock<Instant> = OnceLock::new();
-    // Far enough from the start of time that ages can be subtracted.
-    let base = *BASE.get_or_init(|| Instant::now() + Duration::from_secs(100_000));
-    base + VIRTUAL.get()
+    static START: OnceLock<Instant> = OnceLock::new();
+    // Far enough from the clock's origin that ages can be subtracted.
+    let start = *START.get_or_init(|| Instant::now() + Duration::from_secs(100_000));
+    start + VIRTUAL_TIME.get()
 }
 
-fn pass(time: Duration) {
-    VIRTUAL.set(VIRTUAL.get() + time);
+fn advance(time: Duration) {
+    VIRTUAL_TIME.set(VIRTUAL_TIME.get() + time);
 }
 
 fn daemon() -> (Upstreams, UnboundedReceiver<LoadUpdate>) {
-    let (tell, news) = unbounded();
+    let (sender, updates) = unbounded();
     let options = ChoiceOptions::default();
-    let upstreams = Upstreams::with_clock(options, "hall-a".to_owned(), 1, tell, clock);
-    (upstreams, news)
+    let upstreams = Upstreams::with_clock(options, "hall-a".to_owned(), 1, sender, clock);
+    (upstreams, updates)
 }
 
-fn told(news: &mut UnboundedReceiver<LoadUpdate>) -> Vec<LoadUpdate> {
-    std::iter::from_fn(|| news.try_recv().ok()).collect()
+fn sent(updates: &mut UnboundedReceiver<LoadUpdate>) -> Vec<LoadUpdate> {
+    std::iter::from_fn(|| updates.try_recv().ok()).collect()
 }
 
 fn open(crashes: usize) -> QuarantineState {
     QuarantineState::Open { crashes }
 }
 
-/// What a request's standing is after each of some crashes, and after times that pass.
+/// State of a request after each of several crashes, and as time passes.
 #[test]
 fn quarantine_begins_with_the_third_crash_and_doubles() {
-    let (daemon, _news) = daemon();
-    let mut standings = Vec::new();
-    for life in 1..=5 {
-        daemon.record_crash(REQUEST, life);
-        standings.push(daemon.quarantine_state(REQUEST));
-        pass(Duration::from_secs(1));
+    let (daemon, _updates) = daemon();
+    let mut states = Vec::new();
+    for incarnation in 1..=5 {
+        daemon.record_crash(REQUEST, incarnation);
+        states.push(daemon.quarantine_state(REQUEST));
+        advance(Duration::from_secs(1));
     }
-    pass(4 * QUARANTINE - Duration::from_secs(2));
-    standings.push(daemon.quarantine_state(REQUEST));
-    pass(Duration::from_secs(1));
-    standings.push(daemon.quarantine_state(REQUEST));
-    insta::assert_debug_snapshot!(standings);
+    advance(4 * QUARANTINE - Duration::from_secs(2));
+    states.push(daemon.quarantine_state(REQUEST));
+    advance(Duration::from_secs(1));
+    states.push(daemon.quarantine_state(REQUEST));
+    insta::assert_debug_snapshot!(states);
 }
 
-/// Guards against one crash being counted by each request that saw it, or by each way that
-/// its news takes.
+/// Guards against one crash being counted once per request that observed it, or once per path on
+/// which its update arrives.
 #[test]
-fn a_life_counts_once() {
-    let (daemon, mut news) = daemon();
+fn an_incarnation_counts_once() {
+    let (daemon, mut updates) = daemon();
     for _ in 0..4 {
         daemon.record_crash(REQUEST, 1);
     }
-    for one in told(&mut news) {
+    for one in sent(&mut updates) {
         daemon.apply_update(2, one.clone());
         daemon.apply_update(3, one);
     }
     assert_eq!(daemon.quarantine_state(REQUEST), open(1));
 }
 
-/// Guards against an innocent request being kept for crashes that it was beside.
+/// Guards against a request being quarantined for crashes that it did not cause.
 #[test]
-fn a_request_that_is_answered_is_cleared_at_all_daemons() {
-    let (one, mut of_one) = daemon();
-    let (other, _of_other) = daemon();
+fn an_answered_request_is_cleared_at_all_daemons() {
+    let (one, mut updates_of_one) = daemon();
+    let (other, _updates_of_other) = daemon();
     one.record_crash(REQUEST, 1);
     one.record_crash(REQUEST, 2);
-    let early = told(&mut of_one);
+    let early = sent(&mut updates_of_one);
     assert!(one.clear_crashes(REQUEST));
-    assert!(
-        !one.clear_crashes(REQUEST),
-        "there is nothing more to clear"
-    );
-    // LoadUpdate overtake each other.
-    for news in told(&mut of_one).into_iter().chain(early) {
-        other.apply_update(2, news);
+    assert!(!one.clear_crashes(REQUEST), "no crashes are left to clear");
+    // Updates may arrive out of order.
+    for update in sent(&mut updates_of_one).into_iter().chain(early) {
+        other.apply_update(2, update);
     }
     assert_eq!(other.quarantine_state(REQUEST), open(0));
     other.record_crash(REQUEST, 3);
     assert_eq!(other.quarantine_state(REQUEST), open(1));
 }
 
-/// Guards against a request that was cleared many times being trusted for ever.
+/// Guards against a request being trusted forever because it was cleared many times.
 #[test]
-fn a_request_that_was_beside_many_crashes_is_kept_once_it_is_at_fault() {
-    let (daemon, _news) = daemon();
-    for life in 1..=100 {
-        daemon.record_crash(REQUEST, life);
+fn a_request_cleared_many_times_is_still_quarantined_once_at_fault() {
+    let (daemon, _updates) = daemon();
+    for incarnation in 1..=100 {
+        daemon.record_crash(REQUEST, incarnation);
         daemon.clear_crashes(REQUEST);
     }
-    for life in 101..=103 {
+    for incarnation in 101..=103 {
         assert!(matches!(
             daemon.quarantine_state(REQUEST),
             QuarantineState::Open { .. }
         ));
-        daemon.record_crash(REQUEST, life);
+        daemon.record_crash(REQUEST, incarnation);
     }
     assert!(matches!(
         daemon.quarantine_state(REQUEST),
@@ -120,11 +117,11 @@
 
 #[test]
 fn only_one_trial_runs_at_a_time() {
-    let (daemon, _news) = daemon();
-    (1..=3).for_each(|life| {
-        daemon.record_crash(REQUEST, life);
+    let (daemon, _updates) = daemon();
+    (1..=3).for_each(|incarnation| {
+        daemon.record_crash(REQUEST, incarnation);
     });
-    pass(QUARANTINE);
+    advance(QUARANTINE);
     assert_eq!(
         daemon.quarantine_state(REQUEST),
         QuarantineState::TrialAllowed
@@ -134,33 +131,33 @@
         daemon.quarantine_state(REQUEST),
         QuarantineState::Quarantined { .. }
     ));
-    // It is still at fault.
+    // The trial crashed another upstream.
     daemon.record_crash(REQUEST, 4);
-    pass(QUARANTINE + Duration::from_secs(1));
+    advance(QUARANTINE + Duration::from_secs(1));
     assert!(matches!(
         daemon.quarantine_state(REQUEST),
         QuarantineState::Quarantined { .. }
     ));
 }
 
-/// Guards against a daemon that has just started, or missed the news, sending a request
-/// on that others keep from their upstreams.
+/// Guards against a daemon that has just started, or missed the updates, sending a request that
+/// others have quarantined.
 #[test]
-fn crashes_are_told_again_and_to_who_starts() {
-    let (one, mut of_one) = daemon();
-    (1..=3).for_each(|life| {
-        one.record_crash(REQUEST, life);
+fn crashes_are_rebroadcast_and_part_of_snapshots() {
+    let (one, mut updates_of_one) = daemon();
+    (1..=3).for_each(|incarnation| {
+        one.record_crash(REQUEST, incarnation);
     });
-    told(&mut of_one);
-    pass(Duration::from_secs(10));
+    sent(&mut updates_of_one);
+    advance(Duration::from_secs(10));
     let (late, _) = daemon();
     one.broadcast_running();
-    for news in told(&mut of_one) {
-        late.apply_update(2, news);
+    for update in sent(&mut updates_of_one) {
+        late.apply_update(2, update);
     }
     let (starting, _) = daemon();
-    for news in one.load_snapshot() {
-        starting.apply_update(2, news);
+    for update in one.load_snapshot() {
+        starting.apply_update(2, update);
     }
     assert_eq!(
         late.quarantine_state(REQUEST),
@@ -172,37 +169,37 @@
     );
 }
 
-/// Guards against a request being kept for ever by a daemon that missed that it was cleared.
+/// Guards against a request staying quarantined at a daemon that missed its clearing.
 #[test]
-fn whoever_missed_that_a_request_was_cleared_is_told_again() {
-    let (one, mut of_one) = daemon();
-    let (other, mut of_other) = daemon();
-    (1..=3).for_each(|life| {
-        other.record_crash(REQUEST, life);
+fn a_daemon_that_missed_a_clearing_receives_it_again() {
+    let (one, mut updates_of_one) = daemon();
+    let (other, mut updates_of_other) = daemon();
+    (1..=3).for_each(|incarnation| {
+        other.record_crash(REQUEST, incarnation);
     });
-    for news in told(&mut of_other) {
-        one.apply_update(2, news);
+    for update in sent(&mut updates_of_other) {
+        one.apply_update(2, update);
     }
     one.clear_crashes(REQUEST);
-    told(&mut of_one);
-    // That was lost; the other goes on to tell what it knows.
+    sent(&mut updates_of_one);
+    // These updates are lost; the other daemon continues to broadcast its own record.
     other.broadcast_running();
-    for news in told(&mut of_other) {
-        one.apply_update(2, news);
+    for update in sent(&mut updates_of_other) {
+        one.apply_update(2, update);
     }
-    for news in told(&mut of_one) {
-        other.apply_update(2, news);
+    for update in sent(&mut updates_of_one) {
+        other.apply_update(2, update);
     }
     assert_eq!(other.quarantine_state(REQUEST), open(0));
 }
 
-/// Guards against a flood of requests that crash upstreams once making room for one that
-/// crashes them all.
+/// Guards against a flood of requests with one crash each evicting the one that crashes every
+/// upstream.
 #[test]
-fn a_flood_of_requests_leaves_the_worst_in_quarantine() {
-    let (daemon, _news) = daemon();
-    (1..=3).for_each(|life| {
-        daemon.record_crash(REQUEST, life);
+fn eviction_keeps_the_request_with_most_crashes() {
+    let (daemon, _updates) = daemon();
+    (1..=3).for_each(|incarnation| {
+        daemon.record_crash(REQUEST, incarnation);
     });
     for request in 100..5_000 {
         daemon.record_crash(request, 4);
@@ -215,32 +212,31 @@
 }
 
 quickcheck! {
-    /// What daemons know in the end does not depend on the order of the news, nor on how
-    /// often each comes.
-    fn news_merge_in_any_order(events: Vec<(u8, bool)>, order: Vec<u16>) -> bool {
-        VIRTUAL.set(Duration::ZERO);
-        let (teller, mut of_teller) = daemon();
-        for (life, is_cleared) in events {
-            match is_cleared && life % 4 == 0 {
-                true => drop(teller.clear_crashes(REQUEST)),
-                false => drop(teller.record_crash(REQUEST, u64::from(life % 8))),
+    /// The resulting state does not depend on the order of the updates, nor on duplicates.
+    fn updates_merge_in_any_order(events: Vec<(u8, bool)>, order: Vec<u16>) -> bool {
+        VIRTUAL_TIME.set(Duration::ZERO);
+        let (sender, mut sent_updates) = daemon();
+        for (incarnation, is_cleared) in events {
+            match is_cleared && incarnation % 4 == 0 {
+                true => drop(sender.clear_crashes(REQUEST)),
+                false => drop(sender.record_crash(REQUEST, u64::from(incarnation % 8))),
             }
         }
-        let news = told(&mut of_teller);
+        let updates = sent(&mut sent_updates);
         let (in_order, _) = daemon();
         let (shuffled, _) = daemon();
-        for one in &news {
+        for one in &updates {
             in_order.apply_update(2, one.clone());
         }
-        for place in &order {
-            if let Some(one) = news.get(usize::from(*place) % news.len().max(1)) {
+        for index in &order {
+            if let Some(one) = updates.get(usize::from(*index) % updates.len().max(1)) {
                 shuffled.apply_update(2, one.clone());
             }
         }
-        for one in news.iter().rev() {
+        for one in updates.iter().rev() {
             shuffled.apply_update(2, one.clone());
         }
-        let standing = teller.quarantine_state(REQUEST);
-        standing == in_order.quarantine_state(REQUEST) && standing == shuffled.quarantine_state(REQUEST)
+        let state = sender.quarantine_state(REQUEST);
+        state == in_order.quarantine_state(REQUEST) && state == shuffled.quarantine_state(REQUEST)
     }
 }
--- a/crates/engines/tests/engines/main.rs
+++ b/crates/engines/tests/engines/main.rs
@@ -1,4 +1,4 @@
-//! The view of the engines and the choice among them.
+//! View of the upstreams, and the choice among them.
 
 mod choice;
 mod crashes;
--- a/crates/engines/tests/engines/profile.rs
+++ b/crates/engines/tests/engines/profile.rs
@@ -1,11 +1,11 @@
-//! Figures that operators publish of an engine.
+//! Engine profile as operators publish it.
 
 use std::time::Duration;
 
 use mangofront_routes::EngineProfile;
 
-/// An engine that reads a prompt of 5,000 tokens in 26 ms.
-pub fn figures() -> EngineProfile {
+/// An engine that prefills a prompt of 5,000 tokens in 26 ms.
+pub fn engine_profile() -> EngineProfile {
     EngineProfile {
         slots: 16,
         memory_tokens: 232_000,
--- a/crates/engines/tests/engines/support.rs
+++ b/crates/engines/tests/engines/support.rs
@@ -1,4 +1,4 @@
-//! Upstreams in one daemon's view, and requests for them.
+//! Upstreams as one daemon sees them, and requests for them.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -10,16 +10,16 @@
 use mangofront_engines::{ChoiceOptions, Demand, LoadUpdate, NoUpstream, Placement, Upstreams};
 use mangofront_routes::Upstream;
 
-use crate::profile::figures;
+use crate::profile::engine_profile;
 
 pub const SERVICE: &str = "assist-llm";
 
 /// Salt of the daemon under test.
 const SALT: u64 = 0x9E37_79B9_7F4A_7C15;
 
-fn one_moment() -> Instant {
-    static MOMENT: OnceLock<Instant> = OnceLock::new();
-    *MOMENT.get_or_init(Instant::now)
+fn fixed_clock() -> Instant {
+    static NOW: OnceLock<Instant> = OnceLock::new();
+    *NOW.get_or_init(Instant::now)
 }
 
 pub fn upstream(number: usize, service: &str, zone: &str) -> Upstream {
@@ -37,7 +37,7 @@
 
 pub struct Fleet {
     pub upstreams: Upstreams,
-    pub news: UnboundedReceiver<LoadUpdate>,
+    pub updates: UnboundedReceiver<LoadUpdate>,
     pub listed: Vec<Upstream>,
 }
 
@@ -47,7 +47,7 @@
         Self::of(listed.collect())
     }
 
-    /// A daemon that has run for a while.
+    /// A daemon whose settling time is over.
     pub fn of(listed: Vec<Upstream>) -> Self {
         let options = ChoiceOptions {
             settling_time_ms: 0,
@@ -57,39 +57,39 @@
     }
 
     pub fn with_options(listed: Vec<Upstream>, options: ChoiceOptions) -> Self {
-        let (tell, news) = unbounded();
-        let upstreams = Upstreams::new(options, "hall-a".to_owned(), SALT, tell);
+        let (sender, updates) = unbounded();
+        let upstreams = Upstreams::new(options, "hall-a".to_owned(), SALT, sender);
         let fleet = Self {
             upstreams,
-            news,
+            updates,
             listed,
         };
-        fleet.list(&fleet.listed);
+        fleet.publish(&fleet.listed);
         fleet
     }
 
-    /// A daemon for which no time passes, so that what engines have to read stays the same
-    /// however late the test runs.
-    pub fn at_one_moment(count: usize) -> Self {
-        let (tell, news) = unbounded();
+    /// A daemon with a clock that stands still, so that the engines' backlog does not depend on how
+    /// long the test runs.
+    pub fn with_fixed_clock(count: usize) -> Self {
+        let (sender, updates) = unbounded();
         let options = ChoiceOptions {
             settling_time_ms: 0,
             ..ChoiceOptions::default()
         };
         let zone = "hall-a".to_owned();
-        let upstreams = Upstreams::with_clock(options, zone, SALT, tell, one_moment);
+        let upstreams = Upstreams::with_clock(options, zone, SALT, sender, fixed_clock);
         let listed = (0..count).map(|number| upstream(number, SERVICE, "hall-a"));
         let fleet = Self {
             upstreams,
-            news,
+            updates,
             listed: listed.collect(),
         };
-        fleet.list(&fleet.listed);
+        fleet.publish(&fleet.listed);
         fleet
     }
 
-    pub fn list(&self, listed: &[Upstream]) {
-        let engine = HashMap::from([(SERVICE.to_owned(), Rc::new(figures()))]);
+    pub fn publish(&self, listed: &[Upstream]) {
+        let engine = HashMap::from([(SERVICE.to_owned(), Rc::new(engine_profile()))]);
         self.upstreams
             .set_published(listed.iter().cloned(), &engine);
     }
@@ -98,12 +98,12 @@
         self.upstreams.place(SERVICE, demand, &[])
     }
 
-    pub fn told(&mut self) -> Vec<LoadUpdate> {
-        let mut told = Vec::new();
-        while let Ok(news) = self.news.try_recv() {
-            told.push(news);
+    pub fn sent_updates(&mut self) -> Vec<LoadUpdate> {
+        let mut sent = Vec::new();
+        while let Ok(update) = self.updates.try_recv() {
+            sent.push(update);
         }
-        told
+        sent
     }
 }
 
@@ -122,16 +122,16 @@
     }
 }
 
-pub fn question() -> Demand {
+pub fn short_request() -> Demand {
     demand(5_000, 250, 300)
 }
 
-pub fn review(prompt_tokens: u64) -> Demand {
+pub fn long_request(prompt_tokens: u64) -> Demand {
     demand(prompt_tokens, 1_000, 2_500)
 }
 
-/// The same request once it has waited for engines with less to do.
-pub fn after(demand: &Demand, time_ms: u64) -> Demand {
+/// The same request after being held for `time_ms`.
+pub fn after_waiting(demand: &Demand, time_ms: u64) -> Demand {
     Demand {
         elapsed: Duration::from_millis(time_ms),
         waited: Duration::from_millis(time_ms),
--- a/crates/engines/tests/engines/view.rs
+++ b/crates/engines/tests/engines/view.rs
@@ -1,4 +1,4 @@
-//! What a daemon learns of upstreams and of the other daemons.
+//! A daemon's view of the upstreams and of the other daemons.
 
 use std::thread;
 use std::time::Duration;
@@ -8,17 +8,17 @@
 use mangofront_routes::Upstream;
 use quickcheck::QuickCheck;
 
-use crate::support::{Fleet, SERVICE, demand, question, review, upstream};
+use crate::support::{Fleet, SERVICE, demand, long_request, short_request, upstream};
 
 #[test]
-fn failed_left_and_tried_upstreams_are_passed_over() {
+fn failed_leaving_and_tried_upstreams_are_skipped() {
     let fleet = Fleet::new(3);
     let keys: Vec<_> = fleet.listed.iter().map(key_of).collect();
     fleet
         .upstreams
         .record_failure(keys[0], Failure::Unreachable);
     let chosen = |tried: &[u64]| {
-        let placed = fleet.upstreams.place(SERVICE, &question(), tried);
+        let placed = fleet.upstreams.place(SERVICE, &short_request(), tried);
         placed.map(|placed| placed.answering().id.clone())
     };
     for _ in 0..5 {
@@ -26,16 +26,16 @@
     }
     assert_eq!(chosen(&[keys[1]]).unwrap(), "i-2");
     assert_eq!(chosen(&keys).unwrap_err(), NoUpstream::AllTried);
-    // One that failed is better than none.
+    // A failed upstream is better than none.
     assert_eq!(chosen(&[keys[1], keys[2]]).unwrap(), "i-0");
     let mut leaving = fleet.listed.clone();
     leaving.iter_mut().for_each(|one| one.leaving = true);
-    fleet.list(&leaving);
+    fleet.publish(&leaving);
     assert_eq!(chosen(&[]).unwrap_err(), NoUpstream::NoneKnown);
 }
 
 #[test]
-fn a_failed_upstream_comes_back_by_itself_and_later_each_time() {
+fn ejection_ends_by_itself_and_grows_with_each_failure() {
     let fleet = Fleet::new(1);
     let key = key_of(&fleet.listed[0]);
     let is_ejected = || fleet.upstreams.status()[0].is_ejected;
@@ -50,16 +50,16 @@
     assert!(!is_ejected());
 }
 
-/// The registration of a dead upstream may outlast it, while a new one listens at
-/// its address; engines refuse a request that names one address twice.
+/// The registration of a dead upstream may outlast it while a new one listens on its address;
+/// engines refuse a request that names one address twice.
 #[test]
-fn an_address_used_again_belongs_to_the_latest_upstream() {
+fn a_reused_address_belongs_to_the_latest_upstream() {
     let mut listed: Vec<_> = (0..8)
         .map(|number| upstream(number, SERVICE, "hall-a"))
         .collect();
     listed[5].address = listed[2].address;
     let fleet = Fleet::of(listed);
-    let placed = fleet.place(&review(200_000)).unwrap();
+    let placed = fleet.place(&long_request(200_000)).unwrap();
     let ids: Vec<_> = placed
         .shares
         .iter()
@@ -70,22 +70,22 @@
 }
 
 #[test]
-fn another_daemon_sees_what_was_placed_and_what_ended() {
+fn another_daemon_sees_placements_and_their_ends() {
     let mut one = Fleet::new(3);
     let other = Fleet::new(3);
-    let mut placed = one.place(&review(100_000)).unwrap();
-    let tell = |one: &mut Fleet| {
-        one.told().into_iter().for_each(|news| {
-            other.upstreams.apply_update(7, news);
+    let mut placed = one.place(&long_request(100_000)).unwrap();
+    let deliver = |one: &mut Fleet| {
+        one.sent_updates().into_iter().for_each(|update| {
+            other.upstreams.apply_update(7, update);
         })
     };
-    tell(&mut one);
+    deliver(&mut one);
     let memory = |fleet: &Fleet| {
         fleet
             .upstreams
             .status()
             .iter()
-            .map(|s| s.memory_tokens)
+            .map(|status| status.memory_tokens)
             .sum::<u64>()
     };
     assert_eq!(memory(&one), memory(&other));
@@ -97,7 +97,7 @@
             .any(|status| status.backlog_ms > 0.0)
     );
     placed.record_first_event();
-    tell(&mut one);
+    deliver(&mut one);
     assert!(
         other
             .upstreams
@@ -106,25 +106,25 @@
             .all(|status| status.backlog_ms == 0.0)
     );
     drop(placed);
-    tell(&mut one);
+    deliver(&mut one);
     assert_eq!(memory(&other), 0);
 }
 
 #[test]
-fn a_missed_end_is_set_right_by_the_list_of_what_runs() {
+fn a_missed_end_is_corrected_by_the_list_of_running_requests() {
     let mut one = Fleet::new(3);
     let other = Fleet::new(3);
-    let ended = one.place(&review(100_000)).unwrap();
-    let running = one.place(&question()).unwrap();
-    one.told().into_iter().for_each(|news| {
-        other.upstreams.apply_update(7, news);
+    let ended = one.place(&long_request(100_000)).unwrap();
+    let running = one.place(&short_request()).unwrap();
+    one.sent_updates().into_iter().for_each(|update| {
+        other.upstreams.apply_update(7, update);
     });
     drop(ended);
-    one.told();
+    one.sent_updates();
     thread::sleep(Duration::from_millis(350));
     one.upstreams.broadcast_running();
-    one.told().into_iter().for_each(|news| {
-        other.upstreams.apply_update(7, news);
+    one.sent_updates().into_iter().for_each(|update| {
+        other.upstreams.apply_update(7, update);
     });
     let answering: u32 = other
         .upstreams
@@ -137,15 +137,18 @@
 }
 
 #[test]
-fn a_daemon_that_starts_is_told_of_what_runs() {
+fn a_starting_daemon_learns_running_requests_from_a_snapshot() {
     let one = Fleet::new(3);
     let other = Fleet::new(3);
-    let _reading = one.place(&review(100_000)).unwrap();
-    let mut writing = one.place(&question()).unwrap();
-    writing.record_first_event();
-    one.upstreams.load_snapshot().into_iter().for_each(|news| {
-        other.upstreams.apply_update(7, news);
-    });
+    let _prefilling = one.place(&long_request(100_000)).unwrap();
+    let mut decoding = one.place(&short_request()).unwrap();
+    decoding.record_first_event();
+    one.upstreams
+        .load_snapshot()
+        .into_iter()
+        .for_each(|update| {
+            other.upstreams.apply_update(7, update);
+        });
     let view = |fleet: &Fleet| {
         let status = fleet.upstreams.status();
         status
@@ -159,7 +162,7 @@
 }
 
 #[test]
-fn a_zone_that_falls_silent_is_left_out_until_it_is_heard() {
+fn a_silent_zone_is_excluded_until_it_is_reachable() {
     let listed = vec![
         upstream(0, SERVICE, "hall-a"),
         upstream(1, SERVICE, "hall-b"),
@@ -168,22 +171,29 @@
     fleet.upstreams.mark_zone_reachable("hall-b");
     fleet.upstreams.mark_zone_reachable("hall-a");
     thread::sleep(Duration::from_millis(1_200));
-    let quiet = fleet.upstreams.probe_targets(Duration::from_millis(500));
+    let targets = fleet.upstreams.probe_targets(Duration::from_millis(500));
     assert_eq!(
-        quiet.iter().map(|one| one.id.as_str()).collect::<Vec<_>>(),
+        targets
+            .iter()
+            .map(|one| one.id.as_str())
+            .collect::<Vec<_>>(),
         ["i-1"]
     );
-    let placed: Vec<_> = (0..10).map(|_| fleet.place(&question()).unwrap()).collect();
+    let placed: Vec<_> = (0..10)
+        .map(|_| fleet.place(&short_request()).unwrap())
+        .collect();
     assert!(placed.iter().all(|one| one.answering().id == "i-0"));
     fleet.upstreams.received_from(key_of(&fleet.listed[1]));
-    let next: Vec<_> = (0..10).map(|_| fleet.place(&question()).unwrap()).collect();
+    let next: Vec<_> = (0..10)
+        .map(|_| fleet.place(&short_request()).unwrap())
+        .collect();
     assert!(next.iter().any(|one| one.answering().id == "i-1"));
 }
 
-/// A call was answered with an error, as its second attempt went to an upstream behind a
-/// cut that was known, while a third upstream, which had only failed lately, could be reached.
+/// Guards against a failed call: its second attempt was sent to an upstream in a zone known to be
+/// unreachable, although a third upstream was reachable and only ejected.
 #[test]
-fn an_upstream_that_failed_is_tried_before_one_behind_a_known_cut() {
+fn an_ejected_upstream_is_preferred_to_one_in_an_unreachable_zone() {
     let listed = vec![
         upstream(0, SERVICE, "hall-a"),
         upstream(1, SERVICE, "hall-b"),
@@ -200,25 +210,29 @@
     let plain = demand(0, 0, 300);
     let chosen = |tried: &[u64]| {
         let placed = fleet.upstreams.place(SERVICE, &plain, tried);
-        placed.expect("one is left").answering().id.clone()
+        placed
+            .expect("one upstream is not tried")
+            .answering()
+            .id
+            .clone()
     };
     for _ in 0..6 {
         assert_eq!(chosen(&keys[..1]), "i-2");
     }
-    // One behind a cut is better than none.
+    // An upstream in an unreachable zone is better than none.
     assert_eq!(chosen(&[keys[0], keys[2]]), "i-1");
 }
 
-/// Whatever is placed and ended in any order, nothing is left once all has ended.
+/// Requests are placed and ended in any order.
 #[test]
-fn nothing_is_left_once_all_has_ended() {
-    fn property(steps: Vec<(u16, bool)>) -> bool {
+fn no_load_remains_once_all_requests_have_ended() {
+    fn holds(steps: Vec<(u16, bool)>) -> bool {
         let fleet = Fleet::new(5);
         let mut running = Vec::new();
         for (tokens, ends) in steps {
             if ends && !running.is_empty() {
                 drop(running.remove(usize::from(tokens) % running.len()));
-            } else if let Ok(placed) = fleet.place(&review(u64::from(tokens) * 10)) {
+            } else if let Ok(placed) = fleet.place(&long_request(u64::from(tokens) * 10)) {
                 running.push(placed);
             }
         }
@@ -230,34 +244,37 @@
     }
     QuickCheck::new()
         .tests(200)
-        .quickcheck(property as fn(Vec<(u16, bool)>) -> bool);
+        .quickcheck(holds as fn(Vec<(u16, bool)>) -> bool);
 }
 
-/// The listed upstreams, of which the first has started again.
-fn first_started_again(fleet: &Fleet) -> Vec<Upstream> {
+/// The published upstreams after the first one has restarted.
+fn with_first_restarted(fleet: &Fleet) -> Vec<Upstream> {
     let mut listed = fleet.listed.clone();
     listed[0].started_at_ms += 5_000;
     listed
 }
 
 #[test]
-fn nothing_of_an_earlier_life_is_held_against_a_later_one() {
+fn a_restarted_upstream_starts_without_load_or_failures() {
     let mut fleet = Fleet::new(1);
-    let placed: Vec<_> = (0..4).map(|_| fleet.place(&question()).unwrap()).collect();
-    let earlier_news = fleet.told();
+    let placed: Vec<_> = (0..4)
+        .map(|_| fleet.place(&short_request()).unwrap())
+        .collect();
+    let earlier_updates = fleet.sent_updates();
     fleet
         .upstreams
         .record_failure(key_of(&fleet.listed[0]), Failure::Unreachable);
-    let listed = first_started_again(&fleet);
-    fleet.list(&listed);
+    let listed = with_first_restarted(&fleet);
+    fleet.publish(&listed);
     let load = |fleet: &Fleet| {
         let status = &fleet.upstreams.status()[0];
         (status.answering, status.memory_tokens, status.is_ejected)
     };
     assert_eq!(load(&fleet), (0, 0, false));
-    // A peer that has not heard of the later life still tells of the earlier one.
-    earlier_news.into_iter().for_each(|news| {
-        fleet.upstreams.apply_update(7, news);
+    // A peer that does not know the later incarnation yet still sends updates about the earlier
+    // one.
+    earlier_updates.into_iter().for_each(|update| {
+        fleet.upstreams.apply_update(7, update);
     });
     fleet.upstreams.apply_update(
         7,
@@ -272,48 +289,56 @@
 }
 
 #[test]
-fn whoever_waits_for_an_earlier_life_is_told() {
+fn requests_on_an_earlier_incarnation_are_notified() {
     let fleet = Fleet::new(2);
-    let mut placed: Vec<_> = (0..8).map(|_| fleet.place(&question()).unwrap()).collect();
-    let is_told = |one: &mut Placement| one.restarted().now_or_never().is_some();
-    assert!(!placed.iter_mut().any(is_told));
-    let listed = first_started_again(&fleet);
-    // Its registration may lapse before the next one comes.
-    fleet.list(&listed[1..]);
-    assert!(!placed.iter_mut().any(is_told));
-    fleet.list(&listed);
+    let mut placed: Vec<_> = (0..8)
+        .map(|_| fleet.place(&short_request()).unwrap())
+        .collect();
+    let is_notified = |one: &mut Placement| one.restarted().now_or_never().is_some();
+    assert!(!placed.iter_mut().any(is_notified));
+    let listed = with_first_restarted(&fleet);
+    // The registration may lapse before that of the next incarnation arrives.
+    fleet.publish(&listed[1..]);
+    assert!(!placed.iter_mut().any(is_notified));
+    fleet.publish(&listed);
     for one in &mut placed {
         let is_first = one.answering().id == listed[0].id;
-        assert_eq!(is_told(one), is_first);
+        assert_eq!(is_notified(one), is_first);
     }
 }
 
-/// What is told while two daemons can't reach each other is lost. Once they can, the
-/// one must not take engines that the other has filled for idle.
+/// Updates are lost while two daemons can't reach each other. Guards against a daemon treating the
+/// engines that the other one has filled meanwhile as idle.
 #[test]
-fn requests_whose_placing_was_not_heard_are_asked_for() {
+fn missed_placements_trigger_a_new_snapshot() {
     let mut one = Fleet::new(3);
     let other = Fleet::new(3);
-    let tell = |news: Vec<LoadUpdate>| {
-        let asked = news
+    let deliver = |updates: Vec<LoadUpdate>| {
+        let answers = updates
             .into_iter()
-            .map(|one| other.upstreams.apply_update(7, one));
-        asked.filter(|asked| *asked).count()
+            .map(|update| other.upstreams.apply_update(7, update));
+        answers.filter(|wants_snapshot| *wants_snapshot).count()
     };
-    let known = one.place(&question()).unwrap();
-    assert_eq!(tell(one.told()), 0);
-    let mut lost: Vec<_> = (0..5).map(|_| one.place(&question()).unwrap()).collect();
+    let known = one.place(&short_request()).unwrap();
+    assert_eq!(deliver(one.sent_updates()), 0);
+    let mut lost: Vec<_> = (0..5)
+        .map(|_| one.place(&short_request()).unwrap())
+        .collect();
     lost[0].record_first_event();
-    drop(one.told());
+    drop(one.sent_updates());
     one.upstreams.broadcast_running();
-    assert_eq!(tell(one.told()), 1, "it should introduce itself");
-    assert_eq!(tell(one.upstreams.load_snapshot()), 0);
+    assert_eq!(deliver(one.sent_updates()), 1, "it should send a snapshot");
+    assert_eq!(deliver(one.upstreams.load_snapshot()), 0);
     let answering = |fleet: &Fleet| {
         let status = fleet.upstreams.status().into_iter();
         status.map(|one| one.answering).collect::<Vec<_>>()
     };
     assert_eq!(answering(&other), answering(&one));
     one.upstreams.broadcast_running();
-    assert_eq!(tell(one.told()), 0, "nothing is missing any more");
+    assert_eq!(
+        deliver(one.sent_updates()),
+        0,
+        "no request is missing any more"
+    );
     drop((known, lost));
 }
--- a/crates/engines/tests/load/engine.rs
+++ b/crates/engines/tests/load/engine.rs
@@ -1,22 +1,22 @@
-//! One engine that works in passes.
+//! Simulated engine that works in forward passes.
 //!
-//! A pass reads whatever waits for it and has each answer write one event. A prompt
-//! that several engines read has its first event once the last part is read, and is
-//! written by the first of them.
+//! A pass prefills whatever is waiting and emits one event for each answer being decoded. A prompt
+//! split over several engines has its first event once the last share is prefilled, and is decoded
+//! by the first engine.
 
 use std::collections::VecDeque;
 
 use mangofront_routes::EngineProfile;
 
-/// Number of a request.
-pub type Id = usize;
+/// Index of a request.
+pub type RequestId = usize;
 
-/// A part to read, or an answer to write.
+/// A share to prefill, or an answer to decode.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
-    pub request: Id,
-    pub read_ms: f64,
-    /// Whether the answer is written here.
+    pub request: RequestId,
+    pub prefill_ms: f64,
+    /// Whether the answer is decoded here.
     pub answers: bool,
     pub context_tokens: u64,
 }
@@ -24,22 +24,22 @@
 #[derive(Debug, Default)]
 pub struct Engine {
     waiting: VecDeque<Job>,
-    reading: Vec<Job>,
-    writing: Vec<Job>,
+    prefilling: Vec<Job>,
+    decoding: Vec<Job>,
     pub is_in_pass: bool,
 }
 
-/// What a pass has done.
+/// Result of a pass.
 #[derive(Debug, Default)]
-pub struct Pass {
-    /// Requests whose part was read.
-    pub read: Vec<Job>,
-    /// Requests that wrote an event.
-    pub wrote: Vec<Id>,
+pub struct PassResult {
+    /// Shares that were prefilled.
+    pub prefilled: Vec<Job>,
+    /// Requests that emitted an event.
+    pub decoded: Vec<RequestId>,
 }
 
 impl Engine {
-    /// Puts a job behind those that wait; parts for other engines go first.
+    /// Appends a job to the queue; shares for other engines go to its front.
     pub fn submit(&mut self, job: Job) {
         if job.answers {
             self.waiting.push_back(job);
@@ -48,41 +48,41 @@
         }
     }
 
-    /// Begins a pass; how long it takes in milliseconds, none if there is nothing to do.
-    pub fn begin(&mut self, figures: &EngineProfile) -> Option<f64> {
-        let slots = figures.slots as usize;
-        while self.writing.len() + self.reading.len() < slots {
+    /// Begins a pass; returns its duration in milliseconds, or `None` if there is no work.
+    pub fn begin(&mut self, profile: &EngineProfile) -> Option<f64> {
+        let slots = profile.slots as usize;
+        while self.decoding.len() + self.prefilling.len() < slots {
             let Some(job) = self.waiting.pop_front() else {
                 break;
             };
-            self.reading.push(job);
+            self.prefilling.push(job);
         }
-        if self.reading.is_empty() && self.writing.is_empty() {
+        if self.prefilling.is_empty() && self.decoding.is_empty() {
             return None;
         }
-        let context: u64 = self.writing.iter().map(|job| job.context_tokens).sum();
-        let read_ms: f64 = self.reading.iter().map(|job| job.read_ms).sum();
+        let context: u64 = self.decoding.iter().map(|job| job.context_tokens).sum();
+        let prefill_ms: f64 = self.prefilling.iter().map(|job| job.prefill_ms).sum();
         self.is_in_pass = true;
-        Some(figures.pass_ms(self.writing.len() as u32, context) + read_ms)
+        Some(profile.pass_ms(self.decoding.len() as u32, context) + prefill_ms)
     }
 
     /// Ends the pass.
-    pub fn end(&mut self) -> Pass {
+    pub fn end(&mut self) -> PassResult {
         self.is_in_pass = false;
-        Pass {
-            read: std::mem::take(&mut self.reading),
-            wrote: self.writing.iter().map(|job| job.request).collect(),
+        PassResult {
+            prefilled: std::mem::take(&mut self.prefilling),
+            decoded: self.decoding.iter().map(|job| job.request).collect(),
         }
     }
 
-    /// Has an answer written from the next pass on.
-    pub fn write(&mut self, job: Job) {
-        self.writing.push(job);
+    /// Decodes an answer from the next pass on.
+    pub fn start_decode(&mut self, job: Job) {
+        self.decoding.push(job);
     }
 
-    /// Ends an answer, and drops what waits to be read for it.
-    pub fn finish(&mut self, request: Id) {
+    /// Ends an answer and drops its queued shares.
+    pub fn finish(&mut self, request: RequestId) {
         self.waiting.retain(|job| job.request != request);
-        self.writing.retain(|job| job.request != request);
+        self.decoding.retain(|job| job.request != request);
     }
 }
