--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,11 +1,9 @@
 //! Routes, services, organisations and upstreams that a gateway serves.
 //!
-//! Owns the types in which the gateway thinks of what operators publish: a
-//! [`RouteTable`] is one version of the configuration, indexed for look-ups; an
-//! [`Upstream`] is one life of one engine or service process. Whatever
-//! publishes them is decoded into these types at the edge of the process.
-//! Nothing in here does input or output, or decides anything but which route a
-//! request is on.
+//! Defines the gateway's model of what operators publish: a [`RouteTable`] is one version of the
+//! configuration, indexed for lookup; an [`Upstream`] is one incarnation of an engine or service
+//! process. Published documents are decoded into these types at the edge of the process. This crate
+//! does no input or output, and decides nothing except which route a request matches.
 
 mod route;
 mod service;
@@ -17,8 +15,8 @@
 pub use table::{CallerLimits, Organisation, RouteTable, RouteTableParts};
 pub use upstream::{Upstream, UpstreamId};
 
-/// Version of a configuration; a later one is higher.
+/// Version of a configuration; later versions are higher.
 pub type ConfigurationVersion = u64;
 
-/// Secret by which a caller shows which organisation it belongs to.
+/// Secret that identifies a caller's organisation.
 pub type ApiKey = String;
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -1,28 +1,28 @@
-//! One route and where its requests may go.
+//! A route and the services that answer its requests.
 
 use std::time::Duration;
 
 use mangofront_settings::ids::ServiceName;
 use serde::{Deserialize, Serialize};
 
-/// What may be done with a request whose first attempt ended without an answer.
+/// Whether a request may be retried after an attempt that ended without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetrySafety {
     /// May run any number of times.
     Idempotent,
-    /// May run once at most.
+    /// May run at most once.
     AtMostOnce,
     /// Answered by a stream of numbered events.
     Stream {
-        /// Whether another upstream can go on after the last event received.
+        /// Whether another upstream can continue after the last event received.
         resumable: bool,
-        /// Longest pause between two events of an answer that is in time.
+        /// Longest gap between two events for the answer to count as on time.
         gap: Duration,
     },
 }
 
 impl RetrySafety {
-    /// Whether a request may be sent again after one that may have run.
+    /// Whether a request may be sent again after an attempt that may have run.
     #[must_use]
     pub fn may_retry(self) -> bool {
         match self {
@@ -44,37 +44,37 @@
 pub struct Split {
     /// Name of the service.
     pub service: ServiceName,
-    /// Share, against the sum of the route's shares.
+    /// Weight relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name, unique in its version.
+    /// Name, unique within a configuration version.
     pub name: String,
-    /// Host that the request names.
+    /// Host of the requests.
     pub host: String,
-    /// Start of the path, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub safety: RetrySafety,
-    /// Longest time for which a caller is kept waiting.
+    /// Maximum time for which a caller waits.
     pub timeout: Duration,
-    /// Time to the answer, or to its first event, that operators aim at.
+    /// Target for the time to the answer, or to its first event.
     pub target: Duration,
-    /// Rank among routes; 0 is the most urgent.
+    /// Priority among routes; 0 is the most urgent.
     pub priority: u8,
-    /// Services that answer, with their shares.
+    /// Services that answer, with their weights.
     pub splits: Vec<Split>,
-    /// Most upstreams that one request may be sent to.
+    /// Maximum number of upstreams to which one request may be sent.
     pub attempts: u32,
     /// Whether a request without a known key is served.
     pub needs_no_key: bool,
 }
 
 impl Route {
-    /// The service for a request; `draw` is any number that differs from request to request.
+    /// Selects the service for a request; `draw` is any number that differs between requests.
     #[must_use]
     pub fn service_for(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self
@@ -82,13 +82,13 @@
             .iter()
             .map(|split| u64::from(split.weight))
             .sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut remaining = draw.checked_rem(total)?;
         for split in &self.splits {
             let weight = u64::from(split.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&split.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,4 +1,4 @@
-//! One version of the configuration, indexed for look-ups.
+//! One version of the configuration, indexed for lookup.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,25 +8,25 @@
 
 use crate::{ApiKey, ConfigurationVersion, Route, Service};
 
-/// Limits on what a caller sends.
+/// Limits on callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest body of a request, in bytes.
+    /// Largest request body, in bytes.
     pub body_limit_bytes: usize,
     /// Longest time between two requests on one connection.
     pub idle_timeout: Duration,
 }
 
-/// An organisation as its key shows it.
+/// The organisation that a key identifies.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Organisation {
     /// Name.
     pub id: OrganisationId,
-    /// Rank that takes precedence over the route's; 0 is the most urgent.
+    /// Priority that overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
 }
 
-/// What a [`RouteTable`] is made of.
+/// Contents of a [`RouteTable`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteTableParts {
     /// Version of the configuration.
@@ -35,16 +35,15 @@
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// Limits on what a caller sends.
+    /// Limits on callers.
     pub limits: CallerLimits,
-    /// Organisations by key; none at all means that requests need no key.
+    /// Organisations by key; `None` if requests need no key.
     pub organisations: Option<HashMap<ApiKey, Organisation>>,
 }
 
 /// One version of the configuration.
 ///
-/// Invariant: the routes of a host are ordered by the length of their prefix,
-/// the longest first.
+/// Invariant: the routes of a host are sorted by descending prefix length.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RouteTable {
     version: ConfigurationVersion,
@@ -55,7 +54,7 @@
 }
 
 impl RouteTable {
-    /// Indexes the parts.
+    /// Builds the indexes.
     #[must_use]
     pub fn new(parts: RouteTableParts) -> Self {
         let mut by_host: HashMap<String, Vec<Route>> = HashMap::new();
@@ -83,25 +82,25 @@
         self.version
     }
 
-    /// The route of a request: the longest prefix of its host that begins its path.
+    /// The route of a request: the one of its host with the longest prefix of its path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.by_host.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// A service by its name.
+    /// Looks up a service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// All services, in no order.
+    /// All services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// Limits on what a caller sends.
+    /// Limits on callers.
     #[must_use]
     pub fn limits(&self) -> CallerLimits {
         self.limits
@@ -113,7 +112,7 @@
         self.organisations.is_some()
     }
 
-    /// The organisation that holds a key.
+    /// The organisation to which a key belongs.
     #[must_use]
     pub fn organisation(&self, key: &str) -> Option<&Organisation> {
         self.organisations.as_ref()?.get(key)
--- a/crates/routes/src/upstream.rs
+++ b/crates/routes/src/upstream.rs
@@ -1,11 +1,11 @@
-//! One life of one engine or service process.
+//! Registration of an upstream: one incarnation of an engine or service process.
 
 use std::net::SocketAddr;
 
 use mangofront_settings::ids::{AvailabilityZone, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// Id of an upstream; after a restart it may have the same one or another.
+/// Id of an upstream; it may or may not change on a restart.
 pub type UpstreamId = String;
 
 /// One upstream as it registered itself.
@@ -13,32 +13,32 @@
 pub struct Upstream {
     /// Its id.
     pub id: UpstreamId,
-    /// When this life started, in Unix milliseconds of the upstream's own clock; the
-    /// same id with another start is another life, which knows nothing of before.
+    /// Start of this incarnation, in Unix milliseconds of the upstream's own clock; the same id
+    /// with another start time is another incarnation, which has lost the earlier state.
     pub started_at_ms: u64,
     /// Service that it runs.
     pub service: ServiceName,
-    /// Address; a later upstream, also of another service, may get the same.
+    /// Address; a later upstream, even of another service, may reuse it.
     pub address: SocketAddr,
     /// Availability zone.
     pub availability_zone: AvailabilityZone,
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// When it was registered, as a number that grows; of two at one address the
-    /// earlier one is gone.
+    /// Number that grows with each registration; of two upstreams with the same address, the earlier one
+    /// is gone.
     pub registered_at: u64,
-    /// Whether it has announced that it is going.
+    /// Whether it has announced its shutdown.
     pub leaving: bool,
 }
 
 impl Upstream {
-    /// Whether `other` differs in nothing but when it was registered.
+    /// Whether `other` differs at most in `registered_at`.
     #[must_use]
     pub fn eq_except_registered_at(&self, other: &Self) -> bool {
-        let other = Self {
+        let normalized = Self {
             registered_at: self.registered_at,
             ..other.clone()
         };
-        *self == other
+        *self == normalized
     }
 }
