--- a/crates/prompt/src/length.rs
+++ b/crates/prompt/src/length.rs
@@ -1,4 +1,4 @@
-//! Ranges of prompt lengths by which times to first token are told apart.
+//! Ranges of prompt lengths for reporting the time to first token.
 
 use serde::{Deserialize, Serialize};
 
@@ -23,7 +23,7 @@
 }
 
 impl LengthBucket {
-    /// All of them, shortest first.
+    /// All buckets in ascending order.
     pub const ALL: [Self; 5] = [
         Self::UpTo4k,
         Self::UpTo16k,
@@ -32,7 +32,7 @@
         Self::Over400k,
     ];
 
-    /// Bucket of a prompt's length.
+    /// The bucket of a prompt length.
     #[must_use]
     pub const fn of(length_tokens: u64) -> Self {
         match length_tokens {
--- a/crates/prompt/src/lib.rs
+++ b/crates/prompt/src/lib.rs
@@ -1,12 +1,11 @@
 //! Length and prefix blocks of a prompt.
 //!
-//! Owns the reading of an OpenAI-style request body just far enough to place
-//! it: the model's name, whether a stream is wanted, the answer's limit, the
-//! prompt's length in tokens and the chained hashes of its prefix blocks. The
-//! body itself is never changed; it travels on as the bytes that came in.
-//! `entry` reads requests with it, `placement` compares blocks with what
-//! engines report, and the emulated engine in `standin` reports the same.
-//! Metrics and load reports tell lengths apart by its [`LengthBucket`].
+//! Parses an OpenAI-style request body as far as placement needs it: the model name, whether a
+//! stream is requested, the limit of the answer, the prompt length in tokens and the chained hashes
+//! of its prefix blocks. The body itself is never changed; it is forwarded byte for byte. `entry`
+//! parses requests with this crate, `placement` compares the blocks with those that engines report,
+//! and the emulated engine in `standin` reports the same blocks. Metrics and load reports group
+//! prompt lengths by [`LengthBucket`].
 
 mod length;
 
@@ -20,23 +19,23 @@
 
 /// Bytes of text counted as one token.
 ///
-/// No tokenizer runs in the daemon: for placement a stable estimate is enough,
-/// and four bytes a token is the usual figure for English text.
+/// The daemon runs no tokenizer: placement only needs a stable estimate, and four bytes per token
+/// is the usual figure for English text.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-/// Tokens of one prefix block.
+/// Tokens per prefix block.
 pub const BLOCK_TOKENS: usize = 256;
 
-/// Bytes of one prefix block.
+/// Bytes per prefix block.
 pub const BLOCK_BYTES: usize = BLOCK_TOKENS * BYTES_PER_TOKEN;
 
-/// Answer length taken when a request sets none, in tokens.
+/// Answer limit of a request that sets none, in tokens.
 pub const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Hash of a prefix block and of all blocks before it.
+/// Hash of a prefix block and all blocks before it.
 pub type BlockHash = u64;
 
-/// Which endpoint a body was sent to.
+/// Endpoint to which a body was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Endpoint {
     /// `/v1/completions`: a `prompt` string.
@@ -45,33 +44,33 @@
     ChatCompletions,
 }
 
-/// What placement needs to know of a request.
+/// The properties of a request that placement needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prompt {
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// Whether the caller wants server-sent events.
+    /// Whether the caller requests server-sent events.
     pub stream: bool,
-    /// Longest answer, in tokens.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u32,
     /// Estimated length, in tokens.
     pub length_tokens: u64,
-    /// Chained hashes of the whole blocks, first block first.
+    /// Chained hashes of the complete blocks, first block first.
     pub blocks: Vec<BlockHash>,
-    /// Hash of the whole text.
+    /// Hash of the complete text.
     pub digest: u64,
 }
 
-/// Reason why a body was not understood.
+/// Reason why a body was rejected.
 #[derive(Debug, Error)]
 pub enum PromptError {
-    /// Not JSON, or not of the endpoint's shape.
+    /// Not JSON, or not in the format of the endpoint.
     #[error("body is not a request: {0}")]
     Malformed(#[from] serde_json::Error),
     /// A prompt without text.
     #[error("prompt is empty")]
     Empty,
-    /// An answer of no token was asked for.
+    /// An answer limit of zero tokens.
     #[error("max_tokens must be at least 1")]
     NoTokens,
 }
@@ -98,11 +97,11 @@
     content: Cow<'a, str>,
 }
 
-/// Reads a request body sent to `endpoint`.
+/// Parses a request body sent to `endpoint`.
 ///
 /// # Errors
-/// [`PromptError`] when the body is no JSON of that shape, has no text, or
-/// asks for no token.
+/// [`PromptError`] if the body is not JSON in the format of the endpoint, has no text, or allows no
+/// token in the answer.
 pub fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Prompt, PromptError> {
     let body: Body<'_> = serde_json::from_slice(body)?;
     let mut text = BlockHasher::default();
@@ -111,17 +110,17 @@
             let Some(prompt) = &body.prompt else {
                 return Err(missing("prompt"));
             };
-            text.push(prompt.as_bytes());
+            text.update(prompt.as_bytes());
         }
         Endpoint::ChatCompletions => {
             let Some(messages) = &body.messages else {
                 return Err(missing("messages"));
             };
             for message in messages {
-                text.push(message.role.as_bytes());
-                text.push(b"\n");
-                text.push(message.content.as_bytes());
-                text.push(b"\n");
+                text.update(message.role.as_bytes());
+                text.update(b"\n");
+                text.update(message.content.as_bytes());
+                text.update(b"\n");
             }
         }
     }
@@ -141,7 +140,7 @@
         max_tokens,
         length_tokens: text.length_bytes.div_ceil(BYTES_PER_TOKEN) as u64,
         blocks: text.blocks,
-        digest: text.running.digest(),
+        digest: text.hasher.digest(),
     })
 }
 
@@ -149,31 +148,31 @@
     PromptError::Malformed(serde::de::Error::missing_field(field))
 }
 
-/// Hashes text block by block without joining its pieces.
+/// Hashes text block by block without concatenating its pieces.
 ///
-/// Invariant: `pending_bytes < BLOCK_BYTES` between calls, and `blocks` holds
-/// one hash for each whole block, each covering all text before its end.
+/// Invariant: `pending_bytes < BLOCK_BYTES` between calls, and `blocks` holds one hash per complete
+/// block, which covers all text up to its end.
 #[derive(Default)]
 struct BlockHasher {
-    running: Xxh3,
+    hasher: Xxh3,
     pending_bytes: usize,
     length_bytes: usize,
     blocks: Vec<BlockHash>,
 }
 
 impl BlockHasher {
-    fn push(&mut self, mut text: &[u8]) {
+    fn update(&mut self, mut text: &[u8]) {
         self.length_bytes += text.len();
         while !text.is_empty() {
-            let taken = text.len().min(BLOCK_BYTES - self.pending_bytes);
-            let (head, rest) = text.split_at(taken);
-            self.running.update(head);
-            self.pending_bytes += taken;
+            let length = text.len().min(BLOCK_BYTES - self.pending_bytes);
+            let (head, tail) = text.split_at(length);
+            self.hasher.update(head);
+            self.pending_bytes += length;
             if self.pending_bytes == BLOCK_BYTES {
-                self.blocks.push(self.running.digest());
+                self.blocks.push(self.hasher.digest());
                 self.pending_bytes = 0;
             }
-            text = rest;
+            text = tail;
         }
     }
 }
--- a/crates/prompt/tests/read.rs
+++ b/crates/prompt/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Reading of request bodies: lengths, blocks and what is refused.
+//! Parsing of request bodies: lengths, blocks and rejected bodies.
 
 use mangofront_prompt::{BLOCK_BYTES, Endpoint, LengthBucket, Prompt, PromptError, parse};
 use quickcheck::QuickCheck;
@@ -6,13 +6,13 @@
 
 const ENDPOINTS: [Endpoint; 2] = [Endpoint::Completions, Endpoint::ChatCompletions];
 
-fn read_value(endpoint: Endpoint, body: &Value) -> Result<Prompt, PromptError> {
+fn parse_value(endpoint: Endpoint, body: &Value) -> Result<Prompt, PromptError> {
     parse(endpoint, body.to_string().as_bytes())
 }
 
 fn completion(text: &str) -> Result<Prompt, PromptError> {
     let body = json!({"model": "m", "prompt": text});
-    read_value(Endpoint::Completions, &body)
+    parse_value(Endpoint::Completions, &body)
 }
 
 fn chat(messages: &[(String, String)]) -> Result<Prompt, PromptError> {
@@ -21,7 +21,7 @@
         .map(|(role, content)| json!({"role": role, "content": content}))
         .collect();
     let body = json!({"model": "m", "messages": messages});
-    read_value(Endpoint::ChatCompletions, &body)
+    parse_value(Endpoint::ChatCompletions, &body)
 }
 
 #[test]
@@ -55,33 +55,33 @@
 #[test]
 fn fields_and_their_defaults() {
     let prompt = completion("text").unwrap();
-    let read = (prompt.model.as_str(), prompt.stream, prompt.max_tokens);
-    assert_eq!(read, ("m", false, 256));
+    let fields = (prompt.model.as_str(), prompt.stream, prompt.max_tokens);
+    assert_eq!(fields, ("m", false, 256));
     let body = json!({
         "model": "m", "prompt": "text", "stream": true, "user": {"unknown": 1},
         "max_tokens": 7, "max_completion_tokens": 9,
     });
-    let prompt = read_value(Endpoint::Completions, &body).unwrap();
+    let prompt = parse_value(Endpoint::Completions, &body).unwrap();
     assert_eq!((prompt.stream, prompt.max_tokens), (true, 9));
 }
 
 #[test]
-fn pieces_give_the_blocks_of_the_whole() {
+fn chat_messages_hash_like_their_concatenation() {
     fn holds(pieces: Vec<(String, String)>, repeats: u8) -> bool {
-        // Repeated, so that pieces fall across the ends of blocks.
+        // Repeated, so that pieces cross block boundaries.
         let repeats = usize::from(repeats % 64) * 8;
         let pieces: Vec<_> = pieces
             .iter()
             .map(|(role, content)| (role.clone(), content.repeat(repeats)))
             .collect();
-        let whole: String = pieces
+        let joined_text: String = pieces
             .iter()
             .map(|(role, content)| format!("{role}\n{content}\n"))
             .collect();
-        let (Ok(apart), Ok(joined)) = (chat(&pieces), completion(&whole)) else {
-            return whole.is_empty();
+        let (Ok(as_chat), Ok(as_completion)) = (chat(&pieces), completion(&joined_text)) else {
+            return joined_text.is_empty();
         };
-        apart == joined && apart.blocks.len() == whole.len() / BLOCK_BYTES
+        as_chat == as_completion && as_chat.blocks.len() == joined_text.len() / BLOCK_BYTES
     }
     QuickCheck::new()
         .tests(80)
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn a_shared_beginning_gives_shared_blocks_only() {
+fn a_shared_prefix_yields_shared_blocks_only() {
     let shared = "s".repeat(2 * BLOCK_BYTES);
     let one = completion(&format!("{shared}{}", "a".repeat(BLOCK_BYTES))).unwrap();
     let other = completion(&format!("{shared}{}", "b".repeat(BLOCK_BYTES))).unwrap();
     assert_eq!(one.blocks[..2], other.blocks[..2]);
     assert_ne!(one.blocks[2], other.blocks[2]);
-    // Chained: the same block after another beginning is another one.
+    // Hashes are chained: the same block after another prefix has another hash.
     let later = completion(&format!("{}{shared}", "a".repeat(BLOCK_BYTES))).unwrap();
     assert_ne!(one.blocks[1], later.blocks[2]);
 }
@@ -121,31 +121,34 @@
     let lines: Vec<String> = bodies
         .iter()
         .map(|body| {
-            let said = ENDPOINTS.map(|endpoint| match read_value(endpoint, body) {
-                Ok(prompt) => panic!("{body} was read as {prompt:?}"),
+            let errors = ENDPOINTS.map(|endpoint| match parse_value(endpoint, body) {
+                Ok(prompt) => panic!("{body} was parsed as {prompt:?}"),
                 Err(error) => error.to_string(),
             });
-            format!("{body}\n  completions: {}\n  chat: {}", said[0], said[1])
+            format!(
+                "{body}\n  completions: {}\n  chat: {}",
+                errors[0], errors[1]
+            )
         })
         .collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn broken_bytes_are_refused_without_a_panic() {
+fn malformed_bytes_are_refused_without_a_panic() {
     fn holds(noise: Vec<u8>, at: usize) -> bool {
-        let good = json!({"model": "m", "prompt": "a\u{e9}\"b", "messages": [
+        let valid = json!({"model": "m", "prompt": "a\u{e9}\"b", "messages": [
             {"role": "user", "content": "a\u{e9}"}
         ]});
-        let good = good.to_string().into_bytes();
-        let at = at % good.len();
-        // Any result will do but a panic.
-        let mut spliced = good.clone();
+        let valid = valid.to_string().into_bytes();
+        let at = at % valid.len();
+        // Any result is accepted; only a panic fails the test.
+        let mut spliced = valid.clone();
         spliced.splice(at..at, noise.iter().copied());
         ENDPOINTS.iter().all(|endpoint| {
             let _ = parse(*endpoint, &noise);
             let _ = parse(*endpoint, &spliced);
-            parse(*endpoint, &good[..at]).is_err()
+            parse(*endpoint, &valid[..at]).is_err()
         })
     }
     QuickCheck::new()
@@ -154,7 +157,7 @@
 }
 
 #[test]
-fn bucket_names_are_those_of_the_json_form() {
+fn bucket_names_match_their_json_form() {
     for bucket in LengthBucket::ALL {
         assert_eq!(serde_json::to_value(bucket).unwrap(), json!(bucket.name()));
     }
