--- a/crates/engines/tests/engines/main.rs
+++ b/crates/engines/tests/engines/main.rs
@@ -1,7 +1,7 @@
-//! The view of the engines and the choice among them.
+//! View of the upstreams, and the choice among them.
 
 mod choice;
 mod crashes;
-mod figures;
+mod profile;
 mod support;
 mod view;
