--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -25,7 +25,7 @@
 use crate::provenance::Provenance;
 use crate::published::Published;
 use crate::published_options::{ASK_AGAIN_AFTER, ASK_TIMEOUT};
-use crate::sharing::{Circle, StateExchange, Told};
+use crate::state_exchange::{Circle, StateExchange, Told};
 use crate::trace;
 
 /// Time for a whole copy; the source is read where it takes longer.
--- a/crates/gateway/src/datagram.rs
+++ b/crates/gateway/src/datagram.rs
@@ -7,9 +7,9 @@
 use mangofront_routes::{ConfigurationVersion, Upstream, UpstreamId};
 use serde::{Deserialize, Serialize};
 
-use crate::contact::AnsweredPeriod;
 use crate::dialect::Position;
 use crate::registrations::{Record, RegistrationState};
+use crate::source_availability::AnsweredPeriod;
 
 /// Version of the datagrams; a daemon drops any other.
 const VERSION: u8 = 8;
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -15,11 +15,11 @@
 use crate::boot_clock::BootInstant;
 use crate::datagram::{Relayed, UpstreamChange, UpstreamChangeKind, UpstreamChanges};
 use crate::dialect::{Change, Changes, Entry, Position, Snapshot, Source, SourceError};
-use crate::horizon::KnownPositions;
+use crate::known_positions::KnownPositions;
 use crate::provenance::Provenance;
 use crate::published::Published;
 use crate::registrations::Removal;
-use crate::sharing::StateExchange;
+use crate::state_exchange::StateExchange;
 use crate::trace;
 
 /// Mean time between two calls of the daemons of a zone to a source that fails.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -13,7 +13,6 @@
 use mangofront_telemetry::metrics::{Metrics, PeerState};
 use mangofront_upstream::Connections;
 
-use crate::budget::RetryBudget;
 use crate::call;
 use crate::dialect::Dialect;
 use crate::drain::{Drain, Stage};
@@ -22,6 +21,7 @@
 use crate::published::Published;
 use crate::quarantine::QuarantinedRequest;
 use crate::reservations::Orders;
+use crate::retry_budget::RetryBudget;
 use crate::{trace, zones};
 
 /// The neighbours that a [`Gateway`] asks.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -12,10 +12,8 @@
 mod answer;
 mod attempts;
 mod boot_clock;
-mod budget;
 mod call;
 mod confirm;
-mod contact;
 mod copies;
 mod datagram;
 mod dialect;
@@ -25,7 +23,7 @@
 mod follow;
 mod gateway;
 mod history;
-mod horizon;
+mod known_positions;
 mod lease;
 mod options;
 mod provenance;
@@ -36,13 +34,13 @@
 mod registrations;
 mod relay;
 mod reservations;
-mod sharing;
+mod retry_budget;
+mod signal;
+mod source_availability;
+mod state_exchange;
 mod trace;
-mod wakeup;
 mod zones;
 
-pub use budget::{RetryBudget, RetryLimit};
-pub use contact::{AnsweredPeriod, SourceAvailability};
 pub use datagram::{UpstreamChange, UpstreamChangeKind, UpstreamChanges};
 pub use dialect::{
     AnswerHead, AttemptHead, CallHead, CallHeadError, Change, Changes, Dialect, Entry, EventId,
@@ -51,7 +49,7 @@
 pub use events::{EventFramer, FramedEvents};
 pub use fingerprint::{Fingerprint, InvalidFingerprint};
 pub use gateway::{Gateway, GatewayParts};
-pub use horizon::KnownPositions;
+pub use known_positions::KnownPositions;
 pub use lease::Lease;
 pub use options::{GatewayOptions, GatewayOptionsBuilder};
 pub use published::Published;
@@ -60,4 +58,6 @@
 pub use registrations::{
     Record, RegisterOutcome, RegistrationState, Registrations, Removal, RemovalOutcome,
 };
-pub use sharing::{StateExchange, StateExchangeError, StateExchangeOptions};
+pub use retry_budget::{RetryBudget, RetryLimit};
+pub use source_availability::{AnsweredPeriod, SourceAvailability};
+pub use state_exchange::{StateExchange, StateExchangeError, StateExchangeOptions};
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -4,7 +4,7 @@
 
 use mangofront_settings::ids::InstanceId;
 
-use crate::budget::RetryLimit;
+use crate::retry_budget::RetryLimit;
 
 /// How long requests with a key are served without a confirmation, unless set.
 const DEFAULT_KEY_LEASE: Duration = Duration::from_secs(5);
--- a/crates/gateway/src/published.rs
+++ b/crates/gateway/src/published.rs
@@ -18,19 +18,19 @@
 use mangofront_upstream::Connections;
 
 use crate::boot_clock::BootInstant;
-use crate::contact::{AnsweredPeriod, SourceAvailability};
 use crate::copies::{CopyOf, CopyPart, HandedOut, Wanted};
 use crate::datagram::{
     AnsweredAges, Confirmation, UpstreamChange, UpstreamChangeKind, UpstreamChanges,
 };
 use crate::dialect::{Entry, Position};
-use crate::horizon::KnownPositions;
+use crate::known_positions::KnownPositions;
 use crate::lease::Lease;
 use crate::provenance::Provenance;
 use crate::published_options::PublishedOptions;
 use crate::registrations::{RegisterOutcome, Registrations, Removal, RemovalOutcome};
+use crate::signal::{Call, Wakeup};
+use crate::source_availability::{AnsweredPeriod, SourceAvailability};
 use crate::trace;
-use crate::wakeup::{Call, Wakeup};
 
 /// The published values in force; clones share them.
 #[derive(Debug, Clone)]
--- a/crates/gateway/src/sharing.rs
+++ b/crates/gateway/src/state_exchange.rs
@@ -10,9 +10,9 @@
 //! `mangofront-peers`, whose links would cost a round trip and several thread
 //! switches for each of these messages.
 
-mod asking;
-mod lives;
-mod relaying;
+mod broadcast;
+mod incarnations;
+mod queries;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -34,8 +34,8 @@
 
 use crate::datagram::{Datagram, Message, Nonce, parts};
 use crate::published::Published;
-use asking::Answer;
-pub(crate) use asking::{Circle, Told};
+use queries::Answer;
+pub(crate) use queries::{Circle, Told};
 
 /// Largest datagram that is read, in bytes.
 const BUFFER_BYTES: usize = 16 * 1024;
