--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,9 +1,8 @@
-//! The answer of a request that is served.
+//! The answer to an admitted request.
 //!
-//! An answer of one piece is read whole before any of it goes out, so that one
-//! that breaks off can still be a proper error or be asked for again. Of a
-//! stream, the first event is awaited for the same reason; then `relay` passes
-//! it on as it comes.
+//! An answer that is not a stream is read completely before any of it is sent, so that one
+//! that breaks off can still become a proper error or be retried. For the same reason the
+//! first event of a stream is awaited; then `relay` forwards the events as they arrive.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -14,31 +13,33 @@
 use mangofront_telemetry::metrics::RequestOutcome;
 use mangofront_upstream::SendError;
 
-use crate::attempts::{Answering, BROKEN_OFF, attempt, note_failed, restarted, until_restart};
+use crate::attempts::{
+    AttemptAnswer, OUTCOME_BROKEN_OFF, attempt, record_failed_attempt, until_restart,
+    upstream_restarted,
+};
 use crate::call::Call;
 use crate::gateway::Gateway;
-use crate::history::{Failed, History};
-use crate::quarantine::note_answered;
+use crate::history::{AttemptError, History};
+use crate::quarantine::record_success;
 use crate::refusal::Refusal;
-use crate::relay::{Opening, Relay};
-use crate::trace::Ended;
+use crate::relay::{OpenedStream, Relay};
+use crate::trace::RequestSummary;
 
-/// An answer of one piece.
-struct Whole {
+/// A complete answer that is not a stream.
+struct CompleteAnswer {
     status: StatusCode,
     headers: HeaderMap,
     body: bytes::Bytes,
     upstream: String,
-    readers: usize,
+    engines: usize,
     expected: Duration,
 }
 
-/// Answers `call`.
 pub(crate) async fn answer(gateway: &Gateway, call: Rc<Call>) -> Response<Body> {
     gateway
-        .budget()
+        .retry_budget()
         .record_request(&call.service, Instant::now());
-    let mut unanswered = Unanswered::new(gateway, &call);
+    let mut unanswered = UnansweredGuard::new(gateway, &call);
     let response = try_upstreams(gateway, &call, &mut unanswered.history).await;
     unanswered.is_answered = true;
     response
@@ -49,62 +50,67 @@
     call: &Rc<Call>,
     history: &mut History,
 ) -> Response<Body> {
-    // The last answer that tells of a fault of the upstream itself.
-    let mut fault: Option<Whole> = None;
+    // The last answer with a server error, which the caller gets if no retry succeeds.
+    let mut server_error: Option<CompleteAnswer> = None;
     loop {
         let attempted = attempt(gateway, call, history, call.last_event_id).await;
-        let failed = match attempted {
-            Ok(answering) if is_stream(call, &answering) => {
-                let upstream = answering.upstream.clone();
-                match Opening::read(gateway, call, answering, history).await {
-                    Ok(opening) => return stream(gateway, call, opening, std::mem::take(history)),
-                    Err(failed) => {
-                        note_failed(gateway, call, &upstream, BROKEN_OFF, &failed).await;
-                        failed
+        let error = match attempted {
+            Ok(attempt_answer) if is_stream(call, &attempt_answer) => {
+                let upstream = attempt_answer.upstream.clone();
+                match OpenedStream::read(gateway, call, attempt_answer, history).await {
+                    Ok(opened) => return stream(gateway, call, opened, std::mem::take(history)),
+                    Err(error) => {
+                        record_failed_attempt(gateway, call, &upstream, OUTCOME_BROKEN_OFF, &error)
+                            .await;
+                        error
                     }
                 }
             }
-            Ok(answering) => {
-                let upstream = answering.upstream.clone();
-                match whole(gateway, call, answering).await {
-                    Ok(whole) if is_fault(call, whole.status) => {
-                        let reason = format!("answered {}", whole.status);
-                        fault = Some(whole);
-                        Failed::MayHaveRun(reason)
+            Ok(attempt_answer) => {
+                let upstream = attempt_answer.upstream.clone();
+                match read_complete(gateway, call, attempt_answer).await {
+                    Ok(complete) if is_retryable_status(call, complete.status) => {
+                        let reason = format!("answered {}", complete.status);
+                        server_error = Some(complete);
+                        AttemptError::MayHaveRun(reason)
                     }
-                    Ok(whole) => return respond(gateway, call, whole, history),
-                    Err(failed) => {
-                        note_failed(gateway, call, &upstream, BROKEN_OFF, &failed).await;
-                        failed
+                    Ok(complete) => return respond(gateway, call, complete, history),
+                    Err(error) => {
+                        record_failed_attempt(gateway, call, &upstream, OUTCOME_BROKEN_OFF, &error)
+                            .await;
+                        error
                     }
                 }
             }
-            Err(failed) => failed,
+            Err(error) => error,
         };
-        if history.may_go_on(gateway, call, &failed) {
+        if history.may_retry(gateway, call, &error) {
             continue;
         }
-        if let Some(whole) = fault {
-            return respond(gateway, call, whole, history);
+        if let Some(complete) = server_error {
+            return respond(gateway, call, complete, history);
         }
-        if let Failed::MayHaveRun(_) | Failed::Broken(_) | Failed::OutOfTime = failed {
+        if let AttemptError::MayHaveRun(_)
+        | AttemptError::ConnectionLost(_)
+        | AttemptError::DeadlineExceeded = error
+        {
             history.may_have_run = true;
         }
-        let refusal = history.refusal(failed);
+        let refusal = history.refusal(error);
         log_refused(gateway, call, &refusal, history);
         return refusal.into_response(&call.id);
     }
 }
 
-/// A request without an answer; one whose caller leaves before leaves a line.
-struct Unanswered<'a> {
+/// Writes the summary of a request whose caller disconnects before it is answered.
+struct UnansweredGuard<'a> {
     gateway: &'a Gateway,
     call: Rc<Call>,
     history: History,
     is_answered: bool,
 }
 
-impl<'a> Unanswered<'a> {
+impl<'a> UnansweredGuard<'a> {
     fn new(gateway: &'a Gateway, call: &Rc<Call>) -> Self {
         Self {
             gateway,
@@ -115,89 +121,100 @@
     }
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for UnansweredGuard<'_> {
     fn drop(&mut self) {
         if !self.is_answered {
-            let ended = Ended {
+            let summary = RequestSummary {
                 reason: "caller_gone",
-                ..ended(&self.call, &self.history)
+                ..request_summary(&self.call, &self.history)
             };
-            ended.write(&self.gateway.parts().metrics);
+            summary.write(&self.gateway.parts().metrics);
         }
     }
 }
 
-/// Whether the answer is a stream that is passed on as it comes.
-fn is_stream(call: &Call, answering: &Answering) -> bool {
-    call.route.safety.is_stream() && answering.answer.status.is_success()
+/// Whether the answer is a stream that is relayed as it arrives.
+fn is_stream(call: &Call, attempt_answer: &AttemptAnswer) -> bool {
+    call.route.safety.is_stream() && attempt_answer.answer.status.is_success()
 }
 
-/// Whether a repeated request may fare better elsewhere.
-fn is_fault(call: &Call, status: StatusCode) -> bool {
+/// Whether another upstream may answer a repeated request better.
+fn is_retryable_status(call: &Call, status: StatusCode) -> bool {
     call.route.safety.may_repeat() && status.is_server_error()
 }
 
-/// Reads an answer of one piece.
-async fn whole(gateway: &Gateway, call: &Call, answering: Answering) -> Result<Whole, Failed> {
-    let Answering {
+/// Reads an answer that is not a stream.
+async fn read_complete(
+    gateway: &Gateway,
+    call: &Call,
+    attempt_answer: AttemptAnswer,
+) -> Result<CompleteAnswer, AttemptError> {
+    let AttemptAnswer {
         answer,
         mut placed,
         upstream,
         reservations,
-    } = answering;
+    } = attempt_answer;
     let status = answer.status;
     let headers = gateway.parts().dialect.answer_headers(&answer.headers);
     let limit_bytes = gateway.options().answer_limit_bytes;
-    let reading = pin!(answer.bytes(limit_bytes, call.deadline));
-    let read = until_restart(&mut placed, reading).await;
+    let body = pin!(answer.bytes(limit_bytes, call.deadline));
+    let read = until_restart(&mut placed, body).await;
     placed.first_event();
     drop(reservations);
-    match read.ok_or_else(restarted)? {
+    match read.ok_or_else(upstream_restarted)? {
         Ok(body) => {
             placed.answered();
             if !status.is_server_error() {
-                note_answered(gateway, call);
+                record_success(gateway, call);
             }
-            Ok(Whole {
+            Ok(CompleteAnswer {
                 status,
                 headers,
                 body,
                 upstream: upstream.id,
-                readers: placed.readers.len(),
+                engines: placed.readers.len(),
                 expected: placed.expected_first_event,
             })
         }
-        Err(_) if call.time_left().is_zero() => Err(Failed::OutOfTime),
-        Err(error @ SendError::Broken { .. }) => Err(Failed::Broken(error.to_string())),
-        Err(error) => Err(Failed::MayHaveRun(error.to_string())),
+        Err(_) if call.time_left().is_zero() => Err(AttemptError::DeadlineExceeded),
+        Err(error @ SendError::Broken { .. }) => {
+            Err(AttemptError::ConnectionLost(error.to_string()))
+        }
+        Err(error) => Err(AttemptError::MayHaveRun(error.to_string())),
     }
 }
 
-fn respond(gateway: &Gateway, call: &Call, whole: Whole, history: &History) -> Response<Body> {
-    let ended = Ended {
+fn respond(
+    gateway: &Gateway,
+    call: &Call,
+    complete: CompleteAnswer,
+    history: &History,
+) -> Response<Body> {
+    let summary = RequestSummary {
         outcome: RequestOutcome::Answered,
-        status: whole.status.as_u16(),
-        upstream: &whole.upstream,
-        readers: whole.readers,
-        expected: whole.expected,
-        ..ended(call, history)
+        status: complete.status.as_u16(),
+        upstream: &complete.upstream,
+        engines: complete.engines,
+        expected: complete.expected,
+        ..request_summary(call, history)
     };
-    ended.write(&gateway.parts().metrics);
-    let mut response = Response::new(full(whole.body));
-    *response.status_mut() = whole.status;
-    *response.headers_mut() = whole.headers;
+    summary.write(&gateway.parts().metrics);
+    let mut response = Response::new(full(complete.body));
+    *response.status_mut() = complete.status;
+    *response.headers_mut() = complete.headers;
     response
 }
 
 fn stream(
     gateway: &Gateway,
     call: &Rc<Call>,
-    opening: Opening,
+    opened: OpenedStream,
     history: History,
 ) -> Response<Body> {
-    let status = opening.status;
-    let headers = opening.headers.clone();
-    let relay = Relay::new(gateway.clone(), Rc::clone(call), opening, history);
+    let status = opened.status;
+    let headers = opened.headers.clone();
+    let relay = Relay::new(gateway.clone(), Rc::clone(call), opened, history);
     let mut response = Response::new(stream_until_abort(relay.chunks()));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
@@ -205,19 +222,19 @@
 }
 
 fn log_refused(gateway: &Gateway, call: &Call, refusal: &Refusal, history: &History) {
-    let ended = Ended {
+    let summary = RequestSummary {
         outcome: refusal.request_outcome(),
         reason: refusal.reason(),
         status: refusal.status().as_u16(),
-        ..ended(call, history)
+        ..request_summary(call, history)
     };
-    ended.write(&gateway.parts().metrics);
+    summary.write(&gateway.parts().metrics);
 }
 
-/// What is the same in the log line of every request.
-pub(crate) fn ended<'a>(call: &'a Call, history: &History) -> Ended<'a> {
+/// The part of a summary that is the same for every request.
+pub(crate) fn request_summary<'a>(call: &'a Call, history: &History) -> RequestSummary<'a> {
     let organisation = call.organisation.as_ref();
-    Ended {
+    RequestSummary {
         request: &call.id,
         fingerprint: call.fingerprint,
         route: &call.route.name,
@@ -227,7 +244,7 @@
         status: 0,
         upstream: "",
         attempts: history.sent,
-        readers: 0,
+        engines: 0,
         prompt_tokens: call.tokens.map_or(0, |tokens| tokens.prompt_tokens),
         target: call.route.target,
         waited: history.waited,
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -1,9 +1,9 @@
-//! Attempts of one request at upstreams, one after the other.
+//! Sends one request to upstreams, one attempt at a time.
 //!
-//! What may follow a failed attempt depends on what is known of it. One that
-//! was not run may be sent elsewhere; one that may have run is sent again only
-//! if the request may repeat. Both are bounded by the attempts of the route and
-//! by the budget of second sends of the whole fleet.
+//! The outcome of a failed attempt decides whether another one may follow. A request that
+//! was not run may be sent to another upstream; one that may have run is sent again only if
+//! it may be repeated. Both are limited by the attempts of the route and by the retry
+//! budget of the whole fleet.
 
 use std::collections::HashSet;
 use std::pin::pin;
@@ -21,55 +21,55 @@
 use crate::call::Call;
 use crate::dialect::{AnswerHead, AttemptHead, EventId, Helper};
 use crate::gateway::Gateway;
-use crate::history::{Failed, History, LEAST_TIME};
-use crate::quarantine::{admit, note_break};
+use crate::history::{AttemptError, History, MIN_ATTEMPT_TIME};
+use crate::quarantine::{check_quarantine, record_lost_connection};
 use crate::reservations::Reservations;
 use crate::trace;
 
-/// Pause between looks at engines that have too much to do: short against the
-/// parts that they read, long against the cost of a look.
-const BUSY_PAUSE: Duration = Duration::from_millis(20);
+/// Pause before placement is tried again while all engines are overloaded: shorter than one
+/// share of a prompt takes to prefill, and long enough to keep the cost of placement low.
+const BUSY_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Engines from which on the pause between looks grows: a look weighs every engine, so
-/// that one before two hundred costs many times as much. Reckoned, not measured: of a
-/// daemon with an eighth of a core, a prompt that waits there would take a third.
-const BUSY_PAUSE_ENGINES: usize = 50;
+/// Number of engines above which the pause grows in proportion. Placement evaluates every
+/// engine, and with two hundred of them a waiting prompt would use a third of the CPU time
+/// of a daemon that has an eighth of a core.
+const BUSY_RETRY_SCALING_ENGINES: usize = 50;
 
-/// How many times the predicted time a first event may take before the attempt
-/// is given up, if another one may follow.
-const PATIENCE_FACTOR: u32 = 3;
+/// Multiple of the predicted time to the first event that an upstream may take before the
+/// attempt is given up, if another attempt may follow.
+const HEAD_TIMEOUT_FACTOR: u32 = 3;
 
-/// Time for a plain service's answer before another upstream is tried: well
-/// over the slowest usual answer, in a share of the time that is left.
-const PLAIN_PATIENCE_SHARE: u32 = 2;
+/// Divisor of the remaining time that a plain service gets to answer before another
+/// upstream is tried; the result is well above its slowest usual answer.
+const PLAIN_TIMEOUT_DIVISOR: u32 = 2;
 
-/// Urgency at the engine of the most urgent rank; it grows by one with each.
-const FIRST_URGENCY: u8 = 2;
+/// Urgency of the most urgent rank; each following rank adds one.
+const HIGHEST_URGENCY: u8 = 2;
 
-/// Least urgent rank that engines know.
-const LAST_URGENCY: u8 = 9;
+/// Lowest urgency that engines accept.
+const LOWEST_URGENCY: u8 = 9;
 
-/// How an attempt ended whose answer had begun, for metrics and logs.
-pub(crate) const BROKEN_OFF: &str = "broken_off";
+/// Outcome, in metrics and logs, of an attempt whose answer broke off after it had begun.
+pub(crate) const OUTCOME_BROKEN_OFF: &str = "broken_off";
 
-/// An upstream that answers.
+/// The head of an upstream's answer, and what the request holds at that upstream.
 #[derive(Debug)]
-pub(crate) struct Answering {
+pub(crate) struct AttemptAnswer {
     pub(crate) answer: Answer,
     pub(crate) placed: Placed,
     pub(crate) upstream: Upstream,
-    /// Held as long as the request uses them.
+    /// Released when the request no longer uses the memory.
     pub(crate) reservations: Reservations,
 }
 
-/// Sends the request to one more upstream and waits for its answer's head.
+/// Sends the request to the next upstream and waits for the head of its answer.
 pub(crate) async fn attempt(
     gateway: &Gateway,
     call: &Call,
     history: &mut History,
     last_event_id: Option<EventId>,
-) -> Result<Answering, Failed> {
-    admit(gateway, call, history)?;
+) -> Result<AttemptAnswer, AttemptError> {
+    check_quarantine(gateway, call, history)?;
     let mut placed = place(gateway, call, history).await?;
     let upstream = placed.answering().clone();
     let key = key_of(&upstream);
@@ -81,15 +81,22 @@
         call.id,
         placed.work_id()
     );
-    let reservations = Reservations::make(gateway.orders(), &placed.readers, &name)
+    let reservations = Reservations::acquire(gateway.reservation_client(), &placed.readers, &name)
         .await
-        .map_err(|upstream| no_memory(gateway, call, &upstream))?;
-    // While it waited, more upstreams may have crashed under it elsewhere.
-    admit(gateway, call, history)?;
-    let request = request(gateway, call, &placed, &reservations, last_event_id)?;
-    let patience = patience(gateway, call, history, &placed);
+        .map_err(|upstream| reservation_failed(gateway, call, &upstream))?;
+    // Other daemons may have seen more upstreams crash under this request while it waited.
+    check_quarantine(gateway, call, history)?;
+    let request = build_request(gateway, call, &placed, &reservations, last_event_id)?;
+    let head_timeout = head_timeout(gateway, call, history, &placed);
     let sent = {
-        let sending = pin!(send(gateway, call, &upstream, request, patience, history));
+        let sending = pin!(send(
+            gateway,
+            call,
+            &upstream,
+            request,
+            head_timeout,
+            history
+        ));
         until_restart(&mut placed, sending).await
     };
     let result = match sent {
@@ -97,7 +104,7 @@
         Some(Err(error)) => Err(send_failed(gateway, call, key, &error)),
         None => {
             history.sent += 1;
-            Err(restarted())
+            Err(upstream_restarted())
         }
     };
     match &result {
@@ -105,9 +112,9 @@
             let zone = &upstream.availability_zone;
             gateway.parts().metrics.attempt_ended(zone, "answered");
         }
-        Err(failed) => note_failed(gateway, call, &upstream, failed.code(), failed).await,
+        Err(error) => record_failed_attempt(gateway, call, &upstream, error.code(), error).await,
     }
-    Ok(Answering {
+    Ok(AttemptAnswer {
         answer: result?,
         placed,
         upstream,
@@ -115,51 +122,55 @@
     })
 }
 
-/// Counts an attempt that failed, writes its line, and looks whether its upstream crashed.
-pub(crate) async fn note_failed(
+/// Records a failed attempt in metrics and logs, and checks whether its upstream crashed.
+pub(crate) async fn record_failed_attempt(
     gateway: &Gateway,
     call: &Call,
     upstream: &Upstream,
     outcome: &'static str,
-    failed: &Failed,
+    error: &AttemptError,
 ) {
     let zone = &upstream.availability_zone;
     gateway.parts().metrics.attempt_ended(zone, outcome);
-    trace::attempt_failed(call, upstream, outcome, &failed.to_string());
-    if let Failed::Broken(_) = failed {
-        note_break(gateway, call, upstream).await;
+    trace::attempt_failed(call, upstream, outcome, &error.to_string());
+    if let AttemptError::ConnectionLost(_) = error {
+        record_lost_connection(gateway, call, upstream).await;
     }
 }
 
-/// Chooses the upstreams; waits while they have too much to do.
-async fn place(gateway: &Gateway, call: &Call, history: &mut History) -> Result<Placed, Failed> {
-    let asked = Instant::now();
+/// Selects the upstreams; waits while all engines are overloaded.
+async fn place(
+    gateway: &Gateway,
+    call: &Call,
+    history: &mut History,
+) -> Result<Placed, AttemptError> {
+    let started = Instant::now();
     let mut waited = Duration::ZERO;
     loop {
-        gateway.parts().published.confirmed_lately().await;
+        gateway.parts().published.wait_until_confirmed().await;
         let connections = &gateway.parts().connections;
         let demand = demand(call, history, waited, connections);
         let upstreams = &gateway.parts().upstreams;
         match upstreams.place(&call.service, &demand, &history.tried) {
-            Err(NoUpstream::Busy) if call.time_left() > LEAST_TIME => {
-                compio::time::sleep(busy_pause(upstreams.count())).await;
-                waited = asked.elapsed();
+            Err(NoUpstream::Busy) if call.time_left() > MIN_ATTEMPT_TIME => {
+                compio::time::sleep(busy_retry_pause(upstreams.count())).await;
+                waited = started.elapsed();
             }
             placed => {
                 history.waited += waited;
-                return placed.map_err(Failed::NoUpstream);
+                return placed.map_err(AttemptError::NoUpstream);
             }
         }
     }
 }
 
-/// Pause between two looks at `engines` that have too much to do.
-fn busy_pause(engines: usize) -> Duration {
-    let share = (engines as f64 / BUSY_PAUSE_ENGINES as f64).max(1.0);
-    BUSY_PAUSE.mul_f64(share)
+/// Pause between two placement attempts while `engines` engines are overloaded.
+fn busy_retry_pause(engines: usize) -> Duration {
+    let factor = (engines as f64 / BUSY_RETRY_SCALING_ENGINES as f64).max(1.0);
+    BUSY_RETRY_PAUSE.mul_f64(factor)
 }
 
-/// What placement has to know of a request.
+/// Describes a request to the placement algorithm.
 fn demand(call: &Call, history: &History, waited: Duration, connections: &Connections) -> Demand {
     let gap = match call.route.safety {
         Safety::Stream { gap, .. } => gap,
@@ -175,7 +186,7 @@
         waited,
         request: call.fingerprint.name(),
         is_refusable: history.sent == 0,
-        // Others open one of their own in any case.
+        // Requests that must not be repeated always open a new connection.
         connected: match call.route.safety.may_repeat() {
             true => connections.unused(),
             false => HashSet::new(),
@@ -184,21 +195,21 @@
     }
 }
 
-fn no_memory(gateway: &Gateway, call: &Call, upstream: &Upstream) -> Failed {
-    gateway.leave_out(key_of(upstream), Failure::Full, &call.id);
-    Failed::Unreachable(format!("{} reserved no memory", upstream.id))
+fn reservation_failed(gateway: &Gateway, call: &Call, upstream: &Upstream) -> AttemptError {
+    gateway.eject(key_of(upstream), Failure::Full, &call.id);
+    AttemptError::Unreachable(format!("{} reserved no memory", upstream.id))
 }
 
-fn request(
+fn build_request(
     gateway: &Gateway,
     call: &Call,
     placed: &Placed,
     reservations: &Reservations,
     last_event_id: Option<EventId>,
-) -> Result<Request<Full<Bytes>>, Failed> {
+) -> Result<Request<Full<Bytes>>, AttemptError> {
     let helper = |reader: &Reader| Helper {
         address: reader.upstream.address,
-        reservation: reservations.at(&reader.upstream),
+        reservation: reservations.id_at(&reader.upstream),
     };
     let helpers: Vec<Helper> = placed.readers.iter().skip(1).map(helper).collect();
     let organisation = call.organisation.as_ref();
@@ -219,13 +230,13 @@
         .method(call.method.clone())
         .uri(path)
         .body(Full::new(call.body.clone()))
-        .map_err(|error| Failed::Unreachable(error.to_string()))?;
+        .map_err(|error| AttemptError::Unreachable(error.to_string()))?;
     *request.headers_mut() = headers;
     Ok(request)
 }
 
-/// Rank at the engine: the organisation's before the route's, and then the
-/// shorter objective first.
+/// Urgency at the engine: the organisation's priority, or else the route's, and then a
+/// lower number for a shorter latency target.
 fn urgency(call: &Call) -> u8 {
     let organisation = call.organisation.as_ref();
     let rank = organisation
@@ -236,13 +247,13 @@
         501..=2_000 => 1,
         _ => 2,
     };
-    (FIRST_URGENCY + rank.min(LAST_URGENCY - FIRST_URGENCY) + by_target).min(LAST_URGENCY)
+    (HIGHEST_URGENCY + rank.min(LOWEST_URGENCY - HIGHEST_URGENCY) + by_target).min(LOWEST_URGENCY)
 }
 
-/// How long to wait for the head of the answer.
+/// Time to wait for the head of the answer.
 ///
-/// Silence is no reason to give up a request that may not be sent again.
-fn patience(gateway: &Gateway, call: &Call, history: &History, placed: &Placed) -> Duration {
+/// A request that must not be sent again is never given up because of silence.
+fn head_timeout(gateway: &Gateway, call: &Call, history: &History, placed: &Placed) -> Duration {
     let left = call.time_left();
     let may_repeat = call.route.safety.may_repeat();
     if !may_repeat || history.sent + 1 >= call.route.attempts {
@@ -250,14 +261,14 @@
     }
     match call.route.safety {
         Safety::Stream { .. } => {
-            let predicted = placed.expected_first_event * PATIENCE_FACTOR;
+            let predicted = placed.expected_first_event * HEAD_TIMEOUT_FACTOR;
             left.min(predicted + gateway.stall_timeout())
         }
-        Safety::Idempotent | Safety::AtMostOnce => left / PLAIN_PATIENCE_SHARE,
+        Safety::Idempotent | Safety::AtMostOnce => left / PLAIN_TIMEOUT_DIVISOR,
     }
 }
 
-/// Waits for an upstream, but no longer than it lives; none when it has started again.
+/// Runs `future` until the upstream starts again; `None` if it did.
 pub(crate) async fn until_restart<F: Future + Unpin>(
     placed: &mut Placed,
     future: F,
@@ -268,9 +279,9 @@
     }
 }
 
-/// How an attempt ended whose upstream has started again: what it did is lost.
-pub(crate) fn restarted() -> Failed {
-    Failed::Broken("the upstream has started again".to_owned())
+/// Error of an attempt whose upstream started again and so lost the request.
+pub(crate) fn upstream_restarted() -> AttemptError {
+    AttemptError::ConnectionLost("the upstream has started again".to_owned())
 }
 
 async fn send(
@@ -278,7 +289,7 @@
     call: &Call,
     upstream: &Upstream,
     request: Request<Full<Bytes>>,
-    patience: Duration,
+    head_timeout: Duration,
     history: &mut History,
 ) -> Result<Answer, SendError> {
     let connections = &gateway.parts().connections;
@@ -286,20 +297,21 @@
         instance: upstream.id.clone(),
         address: upstream.address,
     };
-    let deadline = Instant::now() + patience;
-    // Memory was reserved and a connection opened since the choice; the upstream may have
-    // said meanwhile that it leaves, or this daemon may have stood still.
+    let deadline = Instant::now() + head_timeout;
+    // Since the upstream was selected, memory was reserved and a connection opened. The
+    // upstream may have announced its shutdown since then, or this daemon may have been
+    // suspended.
     let key = key_of(upstream);
     let parts = gateway.parts();
-    let is_wanted = || parts.published.may_be_acted_on() && parts.upstreams.takes_work(key);
+    let is_still_wanted = || parts.published.may_be_acted_on() && parts.upstreams.takes_work(key);
     let sent = if call.route.safety.may_repeat() {
         connections
-            .send_if(&target, request, deadline, is_wanted)
+            .send_if(&target, request, deadline, is_still_wanted)
             .await
     } else {
-        // A used connection that breaks would leave open whether it ran.
+        // If a reused connection breaks, it is unknown whether the request was run.
         let opened = connections.open(&target, deadline).await?;
-        opened.send_if(request, deadline, is_wanted).await
+        opened.send_if(request, deadline, is_still_wanted).await
     };
     let reached = match &sent {
         Ok(_) => true,
@@ -311,71 +323,82 @@
     sent
 }
 
-/// Checks that the head is an answer to this request by the upstream that was meant.
+/// Checks that the head answers this request and comes from the intended upstream.
 fn check_head(
     gateway: &Gateway,
     call: &Call,
     upstream: &Upstream,
     answer: Answer,
     history: &mut History,
-) -> Result<Answer, Failed> {
+) -> Result<Answer, AttemptError> {
     let head = gateway
         .parts()
         .dialect
         .read_answer(answer.status, &answer.headers);
     let key = key_of(upstream);
     if head.not_run {
-        return Err(not_run(gateway, call, key, &head, answer.status));
+        return Err(refused_by_upstream(
+            gateway,
+            call,
+            key,
+            &head,
+            answer.status,
+        ));
     }
     match &head.request_id {
         Some(id) if *id == call.id => {}
-        // A late answer to an earlier request, or none at all: what became of
-        // this request is not known. The connection is closed with the answer.
+        // This is a late answer to an earlier request, or it names no request, so the
+        // outcome of this one is unknown. Dropping the answer closes the connection.
         other => {
             history.may_have_run = true;
             let other = other.as_deref().unwrap_or("no request");
-            return Err(Failed::MayHaveRun(format!("an answer to {other}")));
+            return Err(AttemptError::MayHaveRun(format!("an answer to {other}")));
         }
     }
     gateway.parts().upstreams.answered(key);
     Ok(answer)
 }
 
-fn not_run(
+fn refused_by_upstream(
     gateway: &Gateway,
     call: &Call,
     key: UpstreamKey,
     head: &AnswerHead,
     status: StatusCode,
-) -> Failed {
+) -> AttemptError {
     let upstreams = &gateway.parts().upstreams;
     let at_fault = head
         .at_fault
         .and_then(|address| upstreams.at_address(address));
     match at_fault {
-        Some(other) if other != key => gateway.leave_out(other, Failure::Unreachable, &call.id),
-        _ if head.wrong_upstream => gateway.leave_out(key, Failure::Unreachable, &call.id),
-        _ => gateway.leave_out(key, Failure::Full, &call.id),
+        Some(other) if other != key => gateway.eject(other, Failure::Unreachable, &call.id),
+        _ if head.wrong_upstream => gateway.eject(key, Failure::Unreachable, &call.id),
+        _ => gateway.eject(key, Failure::Full, &call.id),
     }
-    Failed::NotRun(format!("refused with {status}"))
+    AttemptError::NotRun(format!("refused with {status}"))
 }
 
-fn send_failed(gateway: &Gateway, call: &Call, key: UpstreamKey, error: &SendError) -> Failed {
+fn send_failed(
+    gateway: &Gateway,
+    call: &Call,
+    key: UpstreamKey,
+    error: &SendError,
+) -> AttemptError {
     match error {
         SendError::Withdrawn { .. } => {}
-        SendError::Timeout { .. } => gateway.leave_out(key, Failure::Silent, &call.id),
+        SendError::Timeout { .. } => gateway.eject(key, Failure::Silent, &call.id),
         SendError::Broken { .. } | SendError::Refused { .. } | SendError::Protocol { .. } => {
-            gateway.leave_out(key, Failure::Unreachable, &call.id);
+            gateway.eject(key, Failure::Unreachable, &call.id);
         }
     }
     if error.outcome() == Outcome::NotRun {
-        return Failed::Unreachable(error.to_string());
+        return AttemptError::Unreachable(error.to_string());
     }
     if call.time_left().is_zero() {
-        return Failed::OutOfTime;
+        return AttemptError::DeadlineExceeded;
     }
     match error {
-        SendError::Broken { .. } => Failed::Broken(error.to_string()),
-        _ => Failed::MayHaveRun(error.to_string()),
+        SendError::Broken { .. } => AttemptError::ConnectionLost(error.to_string()),
+        _ => AttemptError::MayHaveRun(error.to_string()),
     }
 }
--- a/crates/gateway/src/boot_clock.rs
+++ b/crates/gateway/src/boot_clock.rs
@@ -1,18 +1,18 @@
-//! A clock that goes on while the machine is suspended.
+//! A clock that keeps running while the machine is suspended.
 //!
-//! `Instant` stands still during a suspension, so what ages by it would look
-//! fresh to a process that wakes up hours later.
+//! `Instant` stops during a suspension, so a value whose age it measures would look fresh
+//! to a process that wakes up hours later.
 
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// A moment since the machine's start, suspensions included.
+/// A moment, measured from the boot of the machine and including suspensions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct BootInstant(Duration);
 
 impl BootInstant {
-    /// The present moment.
+    /// The current moment.
     pub(crate) fn now() -> Self {
         let time = clock_gettime(ClockId::Boottime);
         let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
@@ -30,7 +30,7 @@
         Self(self.0.saturating_sub(time))
     }
 
-    /// Time since then; zero for a moment to come.
+    /// Time elapsed since this moment; zero if it is in the future.
     pub(crate) fn elapsed(self) -> Duration {
         Self::now().0.saturating_sub(self.0)
     }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! One request from its head to the decision that it is served.
+//! Admission of one request: route, organisation and lease.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,21 +19,21 @@
 use crate::refusal::Refusal;
 use crate::trace;
 
-/// When a caller may come back to a daemon that can't serve it for now; by then
-/// the balancer has seen that it is not ready.
-const RETRY_ELSEWHERE: Duration = Duration::from_millis(300);
+/// Time after which a caller may retry when this daemon can't serve it for now; by then the
+/// load balancer has seen that the daemon is not ready.
+const RETRY_AFTER_UNAVAILABLE: Duration = Duration::from_millis(300);
 
-/// Largest body while no configuration says otherwise, in bytes.
-const FIRST_BODY_LIMIT_BYTES: usize = 4 * 1024 * 1024;
+/// Body limit while no configuration is in force, in bytes.
+const UNCONFIGURED_BODY_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 
-/// A request that is served.
+/// A request that was admitted.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) id: String,
-    /// Ties it to what its caller sent before.
+    /// Identifies repeated sends of the same request by its caller.
     pub(crate) fingerprint: Fingerprint,
     pub(crate) arrived: Instant,
-    /// When an answer is of no more use to the caller, or its route's time is up.
+    /// When the caller gives up or the timeout of the route ends, whichever is earlier.
     pub(crate) deadline: Instant,
     pub(crate) route: Route,
     pub(crate) service: ServiceName,
@@ -46,31 +46,32 @@
     pub(crate) tokens: Option<TokenCounts>,
     pub(crate) version: ConfigurationVersion,
     pub(crate) lease_age: Option<Duration>,
-    /// Held until the answer is whole.
+    /// Dropped when the answer is complete.
     pub(crate) _in_progress: InProgress,
 }
 
 impl Call {
-    /// Time until the deadline.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
-/// Answers one request.
-pub(crate) async fn answer(
+/// Handles one request.
+pub(crate) async fn handle(
     gateway: Gateway,
     request: Request<Incoming>,
     peer: SocketAddr,
 ) -> Response<Body> {
     let arrived = Instant::now();
-    let in_progress = gateway.begin();
+    let in_progress = gateway.begin_request();
     let (head, body) = request.into_parts();
-    gateway.parts().published.confirmed_lately().await;
+    gateway.parts().published.wait_until_confirmed().await;
     let table = gateway.parts().published.table();
-    let body_limit_bytes = table.as_ref().map_or(FIRST_BODY_LIMIT_BYTES, |table| {
-        table.limits().body_limit_bytes
-    });
+    let body_limit_bytes = table
+        .as_ref()
+        .map_or(UNCONFIGURED_BODY_LIMIT_BYTES, |table| {
+            table.limits().body_limit_bytes
+        });
     let read = gateway.parts().dialect.read_call(&head);
     let (path, version) = (
         head.uri.path().to_owned(),
@@ -82,9 +83,9 @@
     };
     let admitted = match read {
         Ok(call_head) => admit(&gateway, table.as_deref(), &call_head, &path),
-        Err(fault) => Err(Refusal::BadHead(fault.to_string())),
+        Err(error) => Err(Refusal::BadHead(error.to_string())),
     };
-    // Read also when it is refused, so that the connection stays usable.
+    // The body is read even if the request is refused, so that the connection stays usable.
     let body = collect(body, body_limit_bytes).await;
     let served = match (admitted, body) {
         (Err(refusal), _) => Err(refusal),
@@ -94,7 +95,7 @@
     };
     let mut response = match served {
         Ok((admitted, body)) => {
-            let patience = admitted.head.timeout.unwrap_or(admitted.route.timeout);
+            let caller_timeout = admitted.head.timeout.unwrap_or(admitted.route.timeout);
             let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
             let organisation = admitted.organisation.as_ref();
             let organisation = organisation.map(|organisation| organisation.id.as_str());
@@ -102,7 +103,7 @@
                 id: admitted.head.request_id,
                 fingerprint: Fingerprint::of(organisation, &head.method, path, &body),
                 arrived,
-                deadline: arrived + patience.min(admitted.route.timeout),
+                deadline: arrived + caller_timeout.min(admitted.route.timeout),
                 route: admitted.route,
                 service: admitted.service,
                 organisation: admitted.organisation,
@@ -133,7 +134,7 @@
     response
 }
 
-/// A request whose route and organisation are known.
+/// Route, service and organisation of a request.
 struct Admitted {
     head: CallHead,
     route: Route,
@@ -148,23 +149,23 @@
     path: &str,
 ) -> Result<Admitted, Refusal> {
     if gateway.stage() == Stage::Refusing {
-        return Err(not_here("stopping"));
+        return Err(unavailable("stopping"));
     }
-    let table = table.ok_or_else(|| not_here("no_configuration"))?;
+    let table = table.ok_or_else(|| unavailable("no_configuration"))?;
     let lease = gateway.parts().published.lease();
-    let may_be_old = !lease.is_younger_than(gateway.options().ready_lease);
+    let may_be_stale = !lease.is_younger_than(gateway.options().ready_lease);
     let Some(route) = table.find(&head.host, path) else {
-        // A route that was just added may only be unknown here.
-        let unknown = if may_be_old {
-            not_here("route_not_known_yet")
+        // A route that was added recently may be unknown to this daemon only.
+        let unknown = if may_be_stale {
+            unavailable("route_not_known_yet")
         } else {
             Refusal::NoRoute
         };
         return Err(unknown);
     };
-    let organisation = organisation(gateway, table, route, head, may_be_old)?;
-    let service = route.service_for(gateway.next_turn());
-    let service = service.ok_or_else(|| not_here("no_service"))?.clone();
+    let organisation = find_organisation(gateway, table, route, head, may_be_stale)?;
+    let service = route.service_for(gateway.next_request_number());
+    let service = service.ok_or_else(|| unavailable("no_service"))?.clone();
     Ok(Admitted {
         head: head.clone(),
         route: route.clone(),
@@ -173,22 +174,22 @@
     })
 }
 
-/// The organisation of a request, if its key may still be relied upon.
-fn organisation(
+/// Finds the organisation of a request, if its key may still be accepted.
+fn find_organisation(
     gateway: &Gateway,
     table: &RouteTable,
     route: &Route,
     head: &CallHead,
-    may_be_old: bool,
+    may_be_stale: bool,
 ) -> Result<Option<Organisation>, Refusal> {
     if !table.needs_keys() {
         return Ok(None);
     }
     let key = head.key.as_deref();
     let Some(organisation) = key.and_then(|key| table.organisation(key)) else {
-        return match (route.needs_no_key, may_be_old) {
+        return match (route.needs_no_key, may_be_stale) {
             (true, _) => Ok(None),
-            (false, true) => Err(not_here("key_not_known_yet")),
+            (false, true) => Err(unavailable("key_not_known_yet")),
             (false, false) => Err(Refusal::UnknownKey),
         };
     };
@@ -197,14 +198,14 @@
         if route.needs_no_key {
             return Ok(None);
         }
-        return Err(not_here("keys_not_confirmed"));
+        return Err(unavailable("keys_not_confirmed"));
     }
     Ok(Some(organisation.clone()))
 }
 
-fn not_here(reason: &'static str) -> Refusal {
+fn unavailable(reason: &'static str) -> Refusal {
     Refusal::NotRun {
         reason,
-        retry_after: RETRY_ELSEWHERE,
+        retry_after: RETRY_AFTER_UNAVAILABLE,
     }
 }
--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -1,14 +1,14 @@
-//! Having what is in force confirmed by other daemons.
+//! Confirmation of the values in force by other daemons.
 //!
-//! A daemon that does not watch the source asks those of its zone that do how far they
-//! know what is published. Their answers renew its lease and bring the changes of upstreams
-//! that it lacks. Where none of them is in touch with the source, as where it turns away
-//! just these, daemons of its own zone and of others are asked that may be: whoever is in
-//! touch tells who is not.
+//! A daemon that does not watch the source queries the watchers of its availability zone.
+//! Their replies renew its lease and carry the changes of upstreams that it lacks. If no
+//! watcher is in touch with the source, for example because the source rejects exactly
+//! these daemons, it queries other daemons of its own and of other zones, since any daemon
+//! that is in touch can confirm the values.
 //!
-//! More changes than fit into an answer are asked for page by page. A configuration is
-//! fetched beside the questions, however long that takes; changes of upstreams never wait
-//! for it.
+//! Changes that do not fit into one reply are requested page by page. A configuration is
+//! fetched in the background, however long that takes; changes of upstreams never wait for
+//! it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,226 +19,246 @@
 use mangofront_settings::ids::InstanceId;
 
 use crate::boot_clock::BootInstant;
-use crate::copies::{CopyOf, CopyPart, PartialCopy, Wanted};
+use crate::copies::{CopyId, CopyPart, CopyRequest, PartialCopy};
 use crate::datagram::{Relayed, UpstreamChanges};
 use crate::dialect::Entry;
 use crate::provenance::Provenance;
 use crate::published::Published;
-use crate::published_options::{ASK_AGAIN_AFTER, ASK_TIMEOUT};
-use crate::state_exchange::{Circle, StateExchange, Told};
+use crate::published_options::{QUERY_TIMEOUT, REQUERY_INTERVAL};
+use crate::state_exchange::{QueryGroup, Reply, StateExchange};
 use crate::trace;
 
-/// Time for a whole copy; the source is read where it takes longer.
+/// Time for a whole copy; if it takes longer, the values are read from the source.
 const COPY_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Published {
-    /// Has what is in force confirmed by other daemons, for ever.
-    pub(crate) async fn keep_confirmed(self, sharing: Rc<StateExchange>) {
+    /// Has the values in force confirmed periodically, forever.
+    pub(crate) async fn keep_confirmed(self, exchange: Rc<StateExchange>) {
         loop {
-            match self.is_confirmed_by_source(&sharing) {
-                true => self.0.is_alone.set(false),
-                false => self.ask(&sharing).await,
+            match self.is_confirmed_by_source(&exchange) {
+                true => self.0.is_isolated.set(false),
+                false => self.query_peers(&exchange).await,
             }
-            self.0.ask_soon.wait(self.options().query_period).await;
+            self.0.query_soon.wait(self.options().query_period).await;
         }
     }
 
-    /// Whether this daemon watches the source and is in touch with it.
-    fn is_confirmed_by_source(&self, sharing: &StateExchange) -> bool {
-        sharing.is_watcher() && self.is_confirmed_within(self.options().confirmation_age_limit)
+    /// Whether this daemon is a watcher and in touch with the source.
+    fn is_confirmed_by_source(&self, exchange: &StateExchange) -> bool {
+        exchange.is_watcher() && self.is_confirmed_within(self.options().confirmation_age_limit)
     }
 
     fn is_confirmed_within(&self, time: Duration) -> bool {
         self.0.lease.is_younger_than(time)
     }
 
-    /// Asks other daemons, those of the own zone that watch first.
-    async fn ask(&self, sharing: &Rc<StateExchange>) {
-        let is_confirmed = self.ask_circle(sharing, Circle::Watchers).await
-            || self.ask_circle(sharing, Circle::Fleet).await;
-        let was_alone = self.0.is_alone.replace(!is_confirmed);
-        if was_alone == is_confirmed {
+    /// Queries other daemons, first the watchers of its own zone.
+    async fn query_peers(&self, exchange: &Rc<StateExchange>) {
+        let is_confirmed = self.query_group(exchange, QueryGroup::Watchers).await
+            || self.query_group(exchange, QueryGroup::Fleet).await;
+        let was_isolated = self.0.is_isolated.replace(!is_confirmed);
+        if was_isolated == is_confirmed {
             trace::confirmed_by_others(is_confirmed);
         }
         if !is_confirmed {
-            self.0.source_needed.call();
+            self.0.source_needed.raise();
         }
-        self.0.last_asked.set(Some(BootInstant::now()));
-        self.0.asked.wake();
+        self.0.last_query.set(Some(BootInstant::now()));
+        self.0.query_done.wake_all();
     }
 
-    /// Asks some daemons at once; whether one that is in touch has answered.
-    async fn ask_circle(&self, sharing: &Rc<StateExchange>, circle: Circle) -> bool {
-        let asked = BootInstant::now();
-        let after = self.horizon().upstreams();
-        let mut answers = sharing.ask(circle, after).await;
-        while let Some(told) = answers
-            .next(ASK_TIMEOUT.saturating_sub(asked.elapsed()))
+    /// Queries a group of daemons at once; returns whether one replied that is in touch
+    /// with the source.
+    async fn query_group(&self, exchange: &Rc<StateExchange>, group: QueryGroup) -> bool {
+        let queried_at = BootInstant::now();
+        let after = self.positions().upstreams();
+        let mut replies = exchange.query(group, after).await;
+        while let Some(reply) = replies
+            .next(QUERY_TIMEOUT.saturating_sub(queried_at.elapsed()))
             .await
         {
-            if self.take_answer(sharing, asked, told) {
+            if self.apply_reply(exchange, queried_at, reply) {
                 return true;
             }
         }
         false
     }
 
-    /// Takes in what another daemon knows; whether it is in touch.
-    fn take_answer(&self, sharing: &Rc<StateExchange>, asked: BootInstant, told: Told) -> bool {
-        let known = told.known;
-        self.note_heard(known.answered);
-        let has_changes = told.upstreams.is_some();
-        if let Some(told_changes) = told.upstreams {
-            let provenance = Provenance::answered(told.from.ip(), &known);
-            self.take_upstreams(told_changes, &provenance);
+    /// Applies a reply; returns whether its sender is in touch with the source.
+    fn apply_reply(
+        &self,
+        exchange: &Rc<StateExchange>,
+        queried_at: BootInstant,
+        reply: Reply,
+    ) -> bool {
+        let confirmation = reply.confirmation;
+        self.merge_answered(confirmation.answered);
+        let has_page = reply.upstreams.is_some();
+        if let Some(page) = reply.upstreams {
+            let provenance = Provenance::answered(reply.from.ip(), &confirmation);
+            self.apply_upstream_page(page, &provenance);
         }
-        if known.age() >= self.options().confirmation_age_limit {
+        if confirmation.age() >= self.options().confirmation_age_limit {
             return false;
         }
-        let has_configuration = self.version() >= known.configuration;
+        let has_configuration = self.version() >= confirmation.configuration;
         if has_configuration {
-            let position = known.configuration_position;
-            self.change_horizon(|horizon| horizon.advance_configuration(position));
+            let position = confirmation.configuration_position;
+            self.update_positions(|positions| positions.advance_configuration(position));
         }
-        let horizon = self.horizon();
-        let has_upstreams = horizon.upstreams() >= Some(known.upstreams_position);
+        let positions = self.positions();
+        let has_upstreams = positions.upstreams() >= Some(confirmation.upstreams_position);
         match (has_upstreams, has_configuration) {
             (true, true) => {
-                self.0.lease.confirm(asked.before(known.age()));
-                self.0.is_first_hand.set(false);
-                self.0.is_behind.set(false);
+                self.0.lease.confirm(queried_at.before(confirmation.age()));
+                self.0.is_source_confirmed.set(false);
+                self.0.has_failed_copy.set(false);
             }
-            (false, _) if has_changes => self.0.ask_soon.call(),
-            (false, _) => self.fetch(sharing, &told.instance, Wanted::Upstreams),
+            (false, _) if has_page => self.0.query_soon.raise(),
+            (false, _) => self.fetch(exchange, &reply.instance, CopyRequest::Upstreams),
             (true, false) => {}
         }
         if !has_configuration {
-            self.fetch(sharing, &told.instance, Wanted::Configuration);
+            self.fetch(exchange, &reply.instance, CopyRequest::Configuration);
         }
-        known.is_in_touch
+        confirmation.is_in_touch
     }
 
-    /// Takes in a page of changes of upstreams; whether they follow on what is known.
-    fn take_upstreams(&self, told: UpstreamChanges, provenance: &Provenance) -> bool {
-        let (after, up_to) = (told.after, told.up_to);
-        self.take_told(told.changes, provenance);
+    /// Applies a page of changes of upstreams; returns whether it continues the known ones
+    /// without a gap.
+    fn apply_upstream_page(&self, page: UpstreamChanges, provenance: &Provenance) -> bool {
+        let (after, up_to) = (page.after, page.up_to);
+        self.apply_peer_changes(page.changes, provenance);
         let mut follows = false;
-        self.change_horizon(|horizon| follows = horizon.follow_upstreams(after, up_to));
+        self.update_positions(|positions| follows = positions.follow_upstreams(after, up_to));
         follows
     }
 
-    /// Takes in changes that a watcher of the zone read.
+    /// Applies changes that a watcher of the zone read from the source.
     ///
-    /// They say nothing of how current that is: a datagram may have lain unread
-    /// while this daemon stood still.
-    pub(crate) fn take_relayed(&self, relayed: Relayed, from: &Teller) {
-        self.note_heard(relayed.answered);
+    /// They do not renew the lease: the datagram may have waited in the socket's buffer
+    /// while this daemon was suspended.
+    pub(crate) fn apply_relayed(&self, relayed: Relayed, from: &Teller) {
+        self.merge_answered(relayed.answered);
         let (after, up_to) = (relayed.upstreams.after, relayed.upstreams.up_to);
         let provenance = Provenance::relayed(from.address, up_to);
-        let mut is_current = self.take_upstreams(relayed.upstreams, &provenance);
+        let mut is_current = self.apply_upstream_page(relayed.upstreams, &provenance);
         if relayed.has_others {
             is_current = false;
         } else {
-            self.change_horizon(|horizon| is_current &= horizon.follow_configuration(after, up_to));
+            self.update_positions(|positions| {
+                is_current &= positions.follow_configuration(after, up_to)
+            });
         }
         if !is_current {
-            self.0.ask_soon.call();
+            self.0.query_soon.raise();
         }
     }
 
-    /// Begins to fetch a copy, unless one is being fetched.
-    fn fetch(&self, sharing: &Rc<StateExchange>, from: &InstanceId, wanted: Wanted) {
-        if self.is_fetching(wanted).replace(true) {
+    /// Starts to fetch a copy, unless one is being fetched.
+    fn fetch(&self, exchange: &Rc<StateExchange>, from: &InstanceId, requested: CopyRequest) {
+        if self.is_fetching(requested).replace(true) {
             return;
         }
-        let (published, sharing, from) = (self.clone(), Rc::clone(sharing), from.clone());
+        let (published, exchange, from) = (self.clone(), Rc::clone(exchange), from.clone());
         let fetching = async move {
-            let fetched = published.fetch_copy(&sharing, &from, wanted);
+            let fetched = published.fetch_copy(&exchange, &from, requested);
             let has_copy = compio::time::timeout(COPY_TIMEOUT, fetched).await;
             let has_copy = has_copy.unwrap_or(false);
-            published.is_fetching(wanted).set(false);
+            published.is_fetching(requested).set(false);
             if has_copy {
-                published.0.ask_soon.call();
+                published.0.query_soon.raise();
             } else {
-                published.0.is_behind.set(true);
-                published.0.source_needed.call();
+                published.0.has_failed_copy.set(true);
+                published.0.source_needed.raise();
             }
         };
         compio::runtime::spawn(fetching).detach();
     }
 
-    fn is_fetching(&self, wanted: Wanted) -> &Cell<bool> {
-        match wanted {
-            Wanted::Upstreams => &self.0.is_fetching_upstreams,
-            Wanted::Configuration | Wanted::More { .. } => &self.0.is_fetching_configuration,
+    fn is_fetching(&self, requested: CopyRequest) -> &Cell<bool> {
+        match requested {
+            CopyRequest::Upstreams => &self.0.is_fetching_upstreams,
+            CopyRequest::Configuration | CopyRequest::More { .. } => {
+                &self.0.is_fetching_configuration
+            }
         }
     }
 
-    /// Fetches a copy from another daemon, part by part; whether it was taken in.
-    async fn fetch_copy(&self, sharing: &StateExchange, from: &InstanceId, wanted: Wanted) -> bool {
+    /// Fetches a copy from another daemon, part by part; returns whether it was applied.
+    async fn fetch_copy(
+        &self,
+        exchange: &StateExchange,
+        from: &InstanceId,
+        requested: CopyRequest,
+    ) -> bool {
         let mut partial = PartialCopy::default();
-        while let Some(missing) = partial.missing(wanted) {
-            let part = match sharing.fetch(from, missing).await {
-                Ok(bytes) => CopyPart::read(&bytes),
+        while let Some(request) = partial.next_request(requested) {
+            let part = match exchange.fetch(from, request).await {
+                Ok(bytes) => CopyPart::decode(&bytes),
                 Err(error) => {
                     trace::copy_failed(from, &error.to_string());
                     return false;
                 }
             };
             if !part.is_some_and(|part| partial.add(part)) {
-                trace::copy_failed(from, "the copy that was begun is there no more");
+                trace::copy_failed(from, "the copy changed or is no longer available");
                 return false;
             }
         }
-        self.take_copy(&partial, from)
+        self.apply_copy(&partial, from)
     }
 
-    /// Takes over a copy; whether it could be read.
-    fn take_copy(&self, copy: &PartialCopy, from: &InstanceId) -> bool {
+    /// Applies a copy; returns whether it could be decoded.
+    fn apply_copy(&self, copy: &PartialCopy, from: &InstanceId) -> bool {
         match copy.copy() {
-            Some(CopyOf::Configuration(_)) => {
-                let Some(table) = copy.read::<RouteTable>() else {
+            Some(CopyId::Configuration(_)) => {
+                let Some(table) = copy.decode::<RouteTable>() else {
                     return false;
                 };
-                let position = self.horizon().configuration().unwrap_or_default();
-                self.take_table(table, &Provenance::copied(from, position));
+                let position = self.positions().configuration().unwrap_or_default();
+                self.apply_configuration(table, &Provenance::copied(from, position));
                 true
             }
-            Some(CopyOf::Upstreams(position)) => {
-                let Some(upstreams) = copy.read::<Vec<_>>() else {
+            Some(CopyId::Upstreams(position)) => {
+                let Some(upstreams) = copy.decode::<Vec<_>>() else {
                     return false;
                 };
                 let entries = upstreams.into_iter().map(Entry::Upstream);
-                self.take_all(position, entries, &Provenance::copied(from, position));
-                self.change_horizon(|horizon| horizon.advance_upstreams(position));
+                self.apply_all(position, entries, &Provenance::copied(from, position));
+                self.update_positions(|positions| positions.advance_upstreams(position));
                 true
             }
             None => false,
         }
     }
 
-    /// Waits until what is in force was confirmed lately, unless nobody can confirm it.
+    /// Waits until the values in force were confirmed recently, unless no daemon can
+    /// confirm them.
     ///
-    /// A daemon that stood still, or was cut off and is back, asks before it sends; one that
-    /// reaches nobody in touch goes on with what it knows.
-    pub(crate) async fn confirmed_lately(&self) {
-        if self.may_be_acted_on() || self.version().is_none() || self.has_asked(ASK_AGAIN_AFTER) {
+    /// A daemon that was suspended or cut off queries others before it sends a request; one
+    /// that reaches no daemon in touch with the source continues with the values it has.
+    pub(crate) async fn wait_until_confirmed(&self) {
+        if self.may_be_acted_on()
+            || self.version().is_none()
+            || self.has_queried_within(REQUERY_INTERVAL)
+        {
             return;
         }
-        self.0.ask_soon.call();
-        self.0.asked.wait(ASK_TIMEOUT * 2).await;
+        self.0.query_soon.raise();
+        self.0.query_done.wait(QUERY_TIMEOUT * 2).await;
     }
 
-    /// Whether what is in force was confirmed lately, or nobody could confirm it.
+    /// Whether the values in force were confirmed recently, or no daemon can confirm them.
     pub(crate) fn may_be_acted_on(&self) -> bool {
         let limit = self.options().unconfirmed_limit();
-        let is_alone = self.0.is_alone.get() && self.has_asked(limit);
-        self.is_confirmed_within(limit) || is_alone
+        let is_isolated = self.0.is_isolated.get() && self.has_queried_within(limit);
+        self.is_confirmed_within(limit) || is_isolated
     }
 
-    /// Whether other daemons were asked within the last `time`.
-    fn has_asked(&self, time: Duration) -> bool {
-        let asked = self.0.last_asked.get();
-        asked.is_some_and(|asked| asked.elapsed() < time)
+    /// Whether other daemons were queried within the last `time`.
+    fn has_queried_within(&self, time: Duration) -> bool {
+        let last_query = self.0.last_query.get();
+        last_query.is_some_and(|queried_at| queried_at.elapsed() < time)
     }
 }
--- a/crates/gateway/src/copies.rs
+++ b/crates/gateway/src/copies.rs
@@ -1,10 +1,10 @@
-//! Copies of what is in force, which daemons hand to each other in parts.
+//! Copies of the values in force, which daemons transfer to each other in parts.
 //!
-//! A call to the source is counted against the budget of the whole fleet, and each
-//! new configuration would be fetched by every daemon; one that the source turns away
-//! could not fetch it at all. So daemons fetch it from one that has it. A part fits
-//! through a narrow link well within the time of a call, so that a copy is as large as
-//! it has to be, and what is said meanwhile does not wait behind it.
+//! Each call to the source counts against the budget of the whole fleet, and every daemon
+//! would have to fetch each new configuration; a daemon that the source rejects could not
+//! fetch it at all. Daemons therefore fetch it from another one that has it. A part passes
+//! through a slow link well within the timeout of a call, so that the size of a copy is not
+//! limited by it and other messages do not queue behind a whole copy.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -20,33 +20,34 @@
 /// Largest part of a copy, in bytes.
 const PART_BYTES: usize = 24 * 1024;
 
-/// Largest copy that is put together, in bytes; a larger one is no copy.
+/// Largest copy that is assembled, in bytes.
 const COPY_LIMIT_BYTES: usize = 64 * 1024 * 1024;
 
-/// Copies that are kept while others may be fetching them; the oldest goes first.
-const KEPT_COPIES: usize = 4;
+/// Copies that are cached while other daemons may be fetching them; the oldest is dropped
+/// first.
+const CACHED_COPIES_LIMIT: usize = 4;
 
-/// What a copy is of.
+/// Identifies the content of a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum CopyOf {
+pub(crate) enum CopyId {
     /// The configuration of this version.
     Configuration(ConfigurationVersion),
     /// All upstreams as of this position.
     Upstreams(Position),
 }
 
-/// What a daemon asks a copy of.
+/// Request for a part of a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Wanted {
-    /// The configuration in force.
+pub(crate) enum CopyRequest {
+    /// The first part of the configuration in force.
     Configuration,
-    /// All upstreams.
+    /// The first part of all upstreams.
     Upstreams,
-    /// More of a copy.
+    /// A further part of a copy.
     More {
-        /// Copy that was begun.
-        copy: CopyOf,
-        /// Bytes that the asker has.
+        /// The copy that the first part belongs to.
+        copy: CopyId,
+        /// Number of bytes already received.
         from_byte: u32,
     },
 }
@@ -54,138 +55,139 @@
 /// A part of a copy.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct CopyPart {
-    pub(crate) copy: CopyOf,
+    pub(crate) copy: CopyId,
     /// Size of the whole copy.
     pub(crate) size_bytes: u32,
-    /// Digest of the whole copy: another life of its maker may write it in another order.
+    /// Digest of the whole copy: after a restart its sender may encode the same values in
+    /// another order.
     pub(crate) digest: u64,
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Which copy the parts are of.
+/// What all parts of a copy have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Begun {
-    copy: CopyOf,
+struct CopyHeader {
+    copy: CopyId,
     size_bytes: u32,
     digest: u64,
 }
 
-/// A copy that is put together.
+/// A copy that is being assembled.
 #[derive(Debug, Default)]
 pub(crate) struct PartialCopy {
-    begun: Option<Begun>,
+    header: Option<CopyHeader>,
     bytes: Vec<u8>,
 }
 
-/// Copies that were handed out last, as bytes.
+/// The encoded copies that were requested last.
 #[derive(Debug, Default)]
-pub(crate) struct HandedOut(RefCell<VecDeque<Written>>);
+pub(crate) struct CopyCache(RefCell<VecDeque<CachedCopy>>);
 
-/// A copy as bytes.
+/// An encoded copy.
 #[derive(Debug)]
-struct Written {
-    copy: CopyOf,
+struct CachedCopy {
+    copy: CopyId,
     digest: u64,
     bytes: Bytes,
 }
 
-impl Wanted {
-    /// The request as bytes.
-    pub(crate) fn write(self) -> Bytes {
-        // Numbers, so writing can't fail.
+impl CopyRequest {
+    /// Encodes the request.
+    pub(crate) fn encode(self) -> Bytes {
+        // The value consists of numbers, which always serialise.
         Bytes::from(postcard::to_stdvec(&self).unwrap_or_default())
     }
 
-    /// The request that these bytes are, if they are one.
-    pub(crate) fn read(bytes: &[u8]) -> Option<Self> {
+    /// Decodes a request; `None` if the bytes are not one.
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
 impl CopyPart {
-    /// The part as bytes.
-    pub(crate) fn write(&self) -> Bytes {
-        // Numbers and bytes, so writing can't fail.
+    /// Encodes the part.
+    pub(crate) fn encode(&self) -> Bytes {
+        // The value consists of numbers and bytes, which always serialise.
         Bytes::from(postcard::to_stdvec(self).unwrap_or_default())
     }
 
-    /// The part that these bytes are, if they are one.
-    pub(crate) fn read(bytes: &[u8]) -> Option<Self> {
+    /// Decodes a part; `None` if the bytes are not one.
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
 impl PartialCopy {
-    /// What to ask for next of a copy of `wanted`; nothing when it is whole.
-    pub(crate) fn missing(&self, wanted: Wanted) -> Option<Wanted> {
-        let Some(begun) = self.begun else {
-            return Some(wanted);
+    /// The next request for a copy of `requested`; `None` once the copy is complete.
+    pub(crate) fn next_request(&self, requested: CopyRequest) -> Option<CopyRequest> {
+        let Some(header) = self.header else {
+            return Some(requested);
         };
-        let copy = begun.copy;
+        let copy = header.copy;
         let from_byte = self.bytes.len() as u32;
-        (from_byte < begun.size_bytes).then_some(Wanted::More { copy, from_byte })
+        (from_byte < header.size_bytes).then_some(CopyRequest::More { copy, from_byte })
     }
 
-    /// Adds a part; whether it belongs to the copy and brings it on.
+    /// Adds a part; returns whether it belongs to the copy and extends it.
     pub(crate) fn add(&mut self, part: CopyPart) -> bool {
-        let begun = Begun {
+        let header = CopyHeader {
             copy: part.copy,
             size_bytes: part.size_bytes,
             digest: part.digest,
         };
-        let is_of_another = self.begun.is_some_and(|before| before != begun);
+        let is_of_another = self.header.is_some_and(|before| before != header);
         let size_bytes = part.size_bytes as usize;
         let is_too_long = self.bytes.len() + part.bytes.len() > size_bytes;
         if is_of_another || is_too_long || part.bytes.is_empty() || size_bytes > COPY_LIMIT_BYTES {
             return false;
         }
-        self.begun = Some(begun);
+        self.header = Some(header);
         self.bytes.extend_from_slice(&part.bytes);
         true
     }
 
-    /// The whole copy, if it can be read.
-    pub(crate) fn read<T: DeserializeOwned>(&self) -> Option<T> {
+    /// Decodes the whole copy; `None` if that fails.
+    pub(crate) fn decode<T: DeserializeOwned>(&self) -> Option<T> {
         postcard::from_bytes(&self.bytes).ok()
     }
 
-    /// What it is a copy of.
-    pub(crate) fn copy(&self) -> Option<CopyOf> {
-        self.begun.map(|begun| begun.copy)
+    /// Identifies the content of the copy, once a part was added.
+    pub(crate) fn copy(&self) -> Option<CopyId> {
+        self.header.map(|header| header.copy)
     }
 }
 
-impl HandedOut {
-    /// The first part of `copy`, which `write` makes unless it was handed out before.
-    pub(crate) fn first_part(&self, copy: CopyOf, write: impl FnOnce() -> Vec<u8>) -> CopyPart {
-        if let Some(part) = self.more(copy, 0) {
+impl CopyCache {
+    /// The first part of `copy`, which is created by `encode` unless it is cached.
+    pub(crate) fn first_part(&self, copy: CopyId, encode: impl FnOnce() -> Vec<u8>) -> CopyPart {
+        if let Some(part) = self.part_at(copy, 0) {
             return part;
         }
-        let bytes = Bytes::from(write());
+        let bytes = Bytes::from(encode());
         let digest = xxh3_64(&bytes);
-        let written = Written {
+        let cached = CachedCopy {
             copy,
             digest,
             bytes,
         };
-        let part = written.part(0);
+        let part = cached.part(0);
         let mut copies = self.0.borrow_mut();
-        copies.push_back(written);
-        if copies.len() > KEPT_COPIES {
+        copies.push_back(cached);
+        if copies.len() > CACHED_COPIES_LIMIT {
             copies.pop_front();
         }
         part
     }
 
-    /// The part of `copy` that begins at a byte, if that copy is still at hand.
-    pub(crate) fn more(&self, copy: CopyOf, from_byte: u32) -> Option<CopyPart> {
+    /// The part of `copy` that begins at a byte, if the copy is cached.
+    pub(crate) fn part_at(&self, copy: CopyId, from_byte: u32) -> Option<CopyPart> {
         let copies = self.0.borrow();
-        let written = copies.iter().find(|written| written.copy == copy)?;
-        Some(written.part(from_byte as usize))
+        let cached = copies.iter().find(|cached| cached.copy == copy)?;
+        Some(cached.part(from_byte as usize))
     }
 }
 
-impl Written {
+impl CachedCopy {
     fn part(&self, from_byte: usize) -> CopyPart {
         let from_byte = from_byte.min(self.bytes.len());
         let end = (from_byte + PART_BYTES).min(self.bytes.len());
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,9 +1,8 @@
-//! The edges at which a platform's formats are translated.
+//! Translation between a platform's formats and the gateway.
 //!
-//! [`Dialect`] turns heads of callers and upstreams into typed values and
-//! back, [`Source`] reads what operators and upstreams publish. An adapter
-//! implements both and decides nothing; everything behind them is the same on
-//! every platform.
+//! [`Dialect`] converts the heads of requests and answers to typed values and back,
+//! [`Source`] reads what operators and upstreams publish. An adapter implements both and
+//! makes no decisions; everything else is the same on every platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,85 +18,85 @@
 /// Position in the history of a [`Source`].
 pub type Position = u64;
 
-/// Number of an event within its stream; it grows.
+/// Number of an event within its stream; it increases.
 pub type EventId = u64;
 
 /// Name of a memory reservation at an engine.
 pub type ReservationId = String;
 
-/// Size of a generation, as its caller tells it.
+/// Size of a generation, as its caller states it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TokenCounts {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Maximum tokens of the answer.
     pub answer_limit_tokens: u64,
 }
 
-/// What the head of a caller's request says.
+/// Head of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallHead {
-    /// Id of the request; one attempt of a caller has one id.
+    /// Id of the request; the caller uses a new one whenever it sends the request again.
     pub request_id: String,
     /// Host named in the request.
     pub host: String,
-    /// Key shown by the caller.
+    /// API key of the caller.
     pub key: Option<ApiKey>,
-    /// How long the caller waits.
+    /// Time for which the caller waits.
     pub timeout: Option<Duration>,
-    /// Last event that the caller has of a stream to be resumed.
+    /// Last event that the caller received of a stream that it resumes.
     pub last_event_id: Option<EventId>,
     /// Size of the generation.
     pub tokens: Option<TokenCounts>,
 }
 
-/// Why the head of a request can't be served.
+/// Error of a request head that can't be served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum CallHeadError {
-    /// No id of the request.
+    /// The request has no id.
     #[error("the request has no id")]
     NoRequestId,
-    /// A header holds what it can't.
+    /// A header has a malformed value.
     #[error("header {0} has a value that can't be read")]
     BadHeader(&'static str),
 }
 
-/// One engine that reads a part of a prompt.
+/// An engine that prefills a part of a prompt for the one that answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Helper {
     /// Address of the engine.
     pub address: SocketAddr,
-    /// Reservation there that takes up memory of the prompt.
+    /// Reservation of memory for the prompt there.
     pub reservation: Option<ReservationId>,
 }
 
-/// What one attempt adds to the caller's head.
+/// What the head of one attempt adds to the caller's head.
 #[derive(Debug)]
 pub struct AttemptHead<'a> {
-    /// Life of the upstream that is meant; any other one refuses.
+    /// Incarnation of the upstream that is meant; any other one refuses.
     pub upstream: &'a UpstreamId,
-    /// Organisation whose key the caller showed.
+    /// Organisation of the caller's key.
     pub organisation: Option<&'a str>,
-    /// Time in which an answer is still of use.
+    /// Time in which an answer is still useful.
     pub time_left: Duration,
-    /// Rank among the waiting requests of the upstream, 0 to 9; 0 is first.
+    /// Rank among the waiting requests of the upstream, 0 to 9; 0 comes first.
     pub urgency: Option<u8>,
-    /// Last event that the caller has.
+    /// Last event that the caller received.
     pub last_event_id: Option<EventId>,
-    /// Other engines that read the prompt, in order.
+    /// Engines that prefill parts of the prompt, in order.
     pub helpers: &'a [Helper],
 }
 
-/// What the head of an upstream's answer says.
+/// Head of an upstream's answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// Whether the upstream says that it has not run the request and will not.
+    /// Whether the upstream reports that it did not run the request and will not.
     pub not_run: bool,
     /// Whether the address belongs to another upstream by now.
     pub wrong_upstream: bool,
     /// Id of the request that is answered.
     pub request_id: Option<String>,
-    /// Address of the upstream that is the cause of a refusal.
+    /// Address of the upstream that caused a refusal.
     pub at_fault: Option<SocketAddr>,
 }
 
@@ -106,34 +105,34 @@
     /// Reads the head of a caller's request.
     ///
     /// # Errors
-    /// [`CallHeadError`] when it lacks what every request has.
+    /// [`CallHeadError`] if a required header is missing or a header is malformed.
     fn read_call(&self, head: &Parts) -> Result<CallHead, CallHeadError>;
 
-    /// Headers of an attempt, from those of the caller.
+    /// Creates the headers of an attempt from those of the caller.
     fn attempt_headers(&self, caller: &HeaderMap, attempt: &AttemptHead<'_>) -> HeaderMap;
 
-    /// Reads the head of an answer.
+    /// Reads the head of an upstream's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 
-    /// Headers of an answer that a caller gets.
+    /// Creates the headers of the caller's answer from those of the upstream.
     fn answer_headers(&self, upstream: &HeaderMap) -> HeaderMap;
 
-    /// Call that reserves memory at an engine, or renews the reservation.
+    /// Creates a call that reserves memory at an engine, or renews the reservation.
     fn reserve(&self, id: &ReservationId, tokens: u64, hold: Duration) -> Request<Full<Bytes>>;
 
-    /// Call that gives a reservation back.
+    /// Creates a call that releases a reservation.
     fn release(&self, id: &ReservationId) -> Request<Full<Bytes>>;
 }
 
-/// One published value, as it is now.
+/// The current state of one published value.
 #[derive(Debug, Clone)]
 pub enum Entry {
     /// The configuration.
     Configuration(Box<RouteTable>),
-    /// An upstream.
+    /// The registration of an upstream.
     Upstream(Upstream),
-    /// A registration that can't be read or says what no upstream says; it names
-    /// none.
+    /// A registration that can't be decoded or has impossible values; it names no usable
+    /// upstream.
     UnusableUpstream {
         /// Id under which it is published.
         id: UpstreamId,
@@ -142,14 +141,14 @@
         /// What is wrong with it, in a short sentence.
         reason: String,
     },
-    /// Another value that can't be read; the one before it stays in force.
+    /// Another value that can't be decoded; the one before it stays in force.
     Malformed {
         /// Name under which it is published.
         name: String,
         /// What is wrong with it.
         reason: String,
     },
-    /// A value of no concern.
+    /// A value that the gateway does not use.
     Other,
 }
 
@@ -160,7 +159,7 @@
     Written(Entry),
     /// An upstream is no longer published.
     UpstreamGone {
-        /// Its id.
+        /// Id of the upstream.
         id: UpstreamId,
         /// Position of this change.
         position: Position,
@@ -179,37 +178,38 @@
 /// Changes after a position.
 #[derive(Debug, Clone)]
 pub struct Changes {
-    /// Position up to which these are all changes.
+    /// Position up to which the changes are complete.
     pub position: Position,
     /// The changes, in order.
     pub changes: Vec<Change>,
-    /// Whether there may be later ones that found no room in the answer.
+    /// Whether later changes may be missing because the answer was full.
     pub may_be_truncated: bool,
 }
 
-/// Why a source gave no answer.
+/// Error of a call to a source.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SourceError {
     /// The changes after this position are no longer kept.
     #[error("the history after this position is gone")]
     HistoryGone,
-    /// It takes no more calls for now.
+    /// The source refused the call.
     #[error("refused with status {0}")]
     Refused(StatusCode),
-    /// Anything else.
+    /// Any other error.
     #[error("{0}")]
     Failed(String),
 }
 
-/// Reads what is published.
+/// Reads the published values.
 pub trait Source {
-    /// Reads all values; fails when a part of them takes longer than `timeout`.
+    /// Reads all values; fails if any part of them takes longer than `timeout`.
     ///
-    /// A whole list takes as long as it is long: were it bounded, one that many daemons read
-    /// at once would be begun again and again, and never end.
+    /// The whole read has no timeout: with one, a read of a long list by many daemons at
+    /// once would be aborted and started again without ever finishing.
     fn read(&self, timeout: Duration) -> LocalBoxFuture<'_, Result<Snapshot, SourceError>>;
 
-    /// Waits for changes after a position, up to `wait` and `timeout` on top.
+    /// Waits for changes after a position, for up to `wait`; the answer may take `timeout`
+    /// in addition.
     fn watch(
         &self,
         after: Position,
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -1,41 +1,41 @@
-//! The stages of a planned stop.
+//! The stages of a graceful shutdown.
 //!
-//! First the daemon only says that it is not ready, so that new callers go
-//! elsewhere, and asks callers on open connections to close them. Later it
-//! refuses what still comes in, as there may be no time left to finish it, and
-//! ends once all that is in progress is answered.
+//! First the daemon only reports that it is not ready, so that new callers go elsewhere,
+//! and asks callers to close their connections. Later it refuses new requests, as there may
+//! not be enough time left to finish them, and exits once all requests in progress are
+//! answered.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Stage of a planned stop.
+/// Stage of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Serves.
+    /// No shutdown has started.
     Serving,
-    /// Not ready; serves what comes and asks for connections to be closed.
+    /// Not ready; serves requests, but asks for connections to be closed.
     Closing,
-    /// Refuses what comes.
+    /// Refuses new requests.
     Refusing,
 }
 
-/// Time for which requests are still served: the balancer needs two looks, a
-/// second apart, to leave this daemon out.
+/// Time for which requests are still served: the load balancer needs two health checks, a
+/// second apart, to stop using this daemon.
 pub(crate) const CLOSING_TIME: Duration = Duration::from_millis(3_000);
 
-/// Where a daemon is in its planned stop.
+/// Progress of a graceful shutdown.
 #[derive(Debug, Default)]
 pub(crate) struct Drain {
     since: Cell<Option<Instant>>,
 }
 
 impl Drain {
-    /// Begins the stop.
+    /// Starts the shutdown.
     pub(crate) fn begin(&self) {
         self.since.set(Some(Instant::now()));
     }
 
-    /// The present stage.
+    /// The current stage.
     pub(crate) fn stage(&self) -> Stage {
         match self.since.get() {
             None => Stage::Serving,
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,44 +1,44 @@
-//! Whole events out of a stream of chunks.
+//! Splits a stream of chunks into complete events.
 //!
-//! An upstream may stop in the middle of an event, and another one may go on
-//! after the last whole one. So only whole events are passed on, as they are,
-//! and the number of the last one is kept.
+//! An upstream may stop in the middle of an event, and another one may resume after the
+//! last complete event. Only complete events are forwarded, unchanged, and the id of the
+//! last one is recorded.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 
 use crate::dialect::EventId;
 
-/// End of an event.
+/// End of an event with LF line endings.
 const END: &[u8] = b"\n\n";
 
-/// End of an event whose lines end in a carriage return too.
+/// End of an event with CRLF line endings.
 const END_CRLF: &[u8] = b"\r\n\r\n";
 
-/// Field that holds an event's number.
+/// Field that holds an event's id.
 const ID_FIELD: &[u8] = b"id:";
 
-/// Largest event, in bytes; a longer one is no event stream.
+/// Largest event, in bytes; a stream with a longer one is rejected.
 const EVENT_LIMIT_BYTES: usize = 1024 * 1024;
 
-/// Cuts chunks into whole events.
+/// Splits chunks into complete events.
 #[derive(Debug, Default)]
 pub struct EventFramer {
     pending: BytesMut,
     last_id: Option<EventId>,
 }
 
-/// Whole events out of one chunk.
+/// Complete events from one chunk.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct FramedEvents {
-    /// The events' bytes, as they came.
+    /// Bytes of the events, unchanged.
     pub bytes: Bytes,
     /// Number of events.
     pub count: usize,
 }
 
 impl EventFramer {
-    /// A framer that goes on after the event with `last_id`.
+    /// Creates a framer that resumes after the event `last_id`.
     #[must_use]
     pub fn after(last_id: Option<EventId>) -> Self {
         Self {
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Takes a chunk; returns the events that are whole by now.
+    /// Adds a chunk; returns the events that it completes.
     ///
-    /// Events with a number that was passed on already are left out. `None`
-    /// when an event is too long to be one.
+    /// Events whose id was already forwarded are dropped. Returns `None` if an event
+    /// exceeds the size limit.
     pub fn push(&mut self, chunk: &[u8]) -> Option<FramedEvents> {
         self.pending.extend_from_slice(chunk);
-        let mut whole = BytesMut::new();
+        let mut complete = BytesMut::new();
         let mut count = 0;
         while let Some(end) = event_end(&self.pending) {
             let event = self.pending.split_to(end);
@@ -63,15 +63,15 @@
             }
             self.last_id = id.or(self.last_id);
             count += 1;
-            whole.unsplit(event);
+            complete.unsplit(event);
         }
         (self.pending.len() <= EVENT_LIMIT_BYTES).then(|| FramedEvents {
-            bytes: whole.freeze(),
+            bytes: complete.freeze(),
             count,
         })
     }
 
-    /// Number of the last event that was passed on.
+    /// Id of the last event that was forwarded.
     #[must_use]
     pub fn last_id(&self) -> Option<EventId> {
         self.last_id
@@ -84,7 +84,7 @@
     }
 }
 
-/// Length of the first whole event.
+/// Length of the first complete event.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let plain = memmem::find(bytes, END).map(|at| at + END.len());
     let with_returns = memmem::find(bytes, END_CRLF).map(|at| at + END_CRLF.len());
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -1,9 +1,9 @@
-//! Names of requests that stay the same when their caller sends them again.
+//! Fingerprints of requests, which stay the same when their caller sends them again.
 //!
-//! Each time that a request is sent it has another id. What it asks for (the
-//! organisation, the method, the path and the body) is the same, so a digest of that
-//! ties its attempts at different daemons to each other. The digest is cryptographic:
-//! nobody can make a request that has the name of another organisation's.
+//! A request has a new id each time it is sent. What it asks for (the organisation, the
+//! method, the path and the body) stays the same, so a digest of these relates its attempts
+//! at different daemons. The digest is cryptographic, so that nobody can construct a
+//! request with the fingerprint of another organisation's request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,20 +12,21 @@
 use mangofront_engines::RequestName;
 use thiserror::Error;
 
-/// Bytes of a fingerprint: too many for two requests to share one by chance.
+/// Length of a fingerprint, in bytes: long enough that two requests never share one by
+/// chance.
 const LENGTH_BYTES: usize = 16;
 
-/// Name of all requests that ask for the same.
+/// Identifies all requests that ask for the same.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint([u8; LENGTH_BYTES]);
 
 impl Fingerprint {
-    /// Fingerprint of a request of `organisation`, none if it needs no key; `path` is
-    /// that with its query.
+    /// Fingerprint of a request. `organisation` is `None` if the request needs no key;
+    /// `path` includes the query.
     #[must_use]
     pub fn of(organisation: Option<&str>, method: &Method, path: &str, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
-        // A request without an organisation differs from one whose name is empty.
+        // Distinguishes a request without an organisation from one whose name is empty.
         hasher.update(&[u8::from(organisation.is_some())]);
         let parts = [
             organisation.unwrap_or_default().as_bytes(),
@@ -33,7 +34,7 @@
             path.as_bytes(),
         ];
         for part in parts {
-            // The length goes first, so that no part can run into the next one.
+            // The length comes first, so that the parts can't be confused with each other.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -45,7 +46,7 @@
 }
 
 impl Fingerprint {
-    /// The same as a number.
+    /// The fingerprint as a number.
     #[must_use]
     pub fn name(self) -> RequestName {
         RequestName::from_be_bytes(self.0)
@@ -58,7 +59,7 @@
     }
 }
 
-/// Text that is no fingerprint.
+/// Error of a text that is not a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a fingerprint has 32 hexadecimal digits")]
 pub struct InvalidFingerprint;
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,10 +1,10 @@
-//! Reading what is published at the source.
+//! Reading and watching the published values at the source.
 //!
-//! In each zone a few daemons watch the source. The others have what is in force
-//! confirmed by other daemons (`confirm`) and call the source only where nobody answers who
-//! is in touch with it, or what others tell of can't be had from them. While the source
-//! fails, the daemons of a zone take turns in calling it, so that a large zone presses it
-//! no more than a small one.
+//! In each zone a few daemons, the watchers, watch the source. The others have their values
+//! confirmed by other daemons (`confirm`) and call the source only if no daemon replies
+//! that is in touch with it, or if newer values of another daemon could not be fetched.
+//! While the source fails, the daemons of a zone take turns in calling it, so that a large
+//! zone causes no more calls than a small one.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -22,49 +22,52 @@
 use crate::state_exchange::StateExchange;
 use crate::trace;
 
-/// Mean time between two calls of the daemons of a zone to a source that fails.
+/// Mean time between two calls of the daemons of a zone to a failing source.
 ///
-/// A return is noticed by the zone within a quarter of a second, as by a single daemon
-/// that waits the longest pause, and a zone of forty makes 16 calls a second in place of
-/// 80. Watchers call on their own beside it.
+/// The zone then notices a recovery within a quarter of a second, as does a single daemon
+/// with the longest retry pause, and a zone of forty makes 16 calls per second instead of
+/// 80. Calls of the watchers come on top.
 const ZONE_RETRY_PERIOD: Duration = Duration::from_millis(60);
 
 impl Published {
-    /// Follows `source`, for ever; other daemons confirm by `sharing`.
-    pub async fn follow(self, source: Rc<dyn Source>, sharing: Rc<StateExchange>) {
-        let reading = self.clone().follow_source(source, Rc::clone(&sharing));
-        let confirming = self.keep_confirmed(sharing);
-        join(reading, confirming).await;
+    /// Follows `source` and has the values confirmed through `exchange`, forever.
+    pub async fn follow(self, source: Rc<dyn Source>, exchange: Rc<StateExchange>) {
+        let following = self.clone().follow_source(source, Rc::clone(&exchange));
+        let confirming = self.keep_confirmed(exchange);
+        join(following, confirming).await;
     }
 
-    async fn follow_source(self, source: Rc<dyn Source>, sharing: Rc<StateExchange>) {
+    async fn follow_source(self, source: Rc<dyn Source>, exchange: Rc<StateExchange>) {
         let options = self.options();
         let mut pause = options.first_retry_pause;
         loop {
-            if !self.needs_source(&sharing) {
+            if !self.needs_source(&exchange) {
                 self.0.source_needed.wait(options.query_period).await;
                 continue;
             }
             let is_first = pause == options.first_retry_pause;
-            match self.follow_once(source.as_ref(), &sharing, is_first).await {
+            match self
+                .read_or_watch(source.as_ref(), &exchange, is_first)
+                .await
+            {
                 Ok(()) => {
                     if !is_first {
                         trace::dependency_regained("platform");
                     }
                     pause = options.first_retry_pause;
-                    self.0.is_behind.set(false);
+                    self.0.has_failed_copy.set(false);
                 }
                 Err(SourceError::HistoryGone) => {
-                    self.change_horizon(KnownPositions::reset);
+                    self.update_positions(KnownPositions::reset);
                     compio::time::sleep(options.first_retry_pause).await;
                 }
                 Err(error) => {
                     if is_first {
                         trace::dependency_lost("platform", &error.to_string());
                     }
-                    self.note_failure();
-                    self.0.ask_soon.call();
-                    self.wait_after_failure(pause, &sharing).await;
+                    self.record_source_failure();
+                    self.0.query_soon.raise();
+                    self.wait_after_failure(pause, &exchange).await;
                     pause = (pause * 2).min(options.longest_retry_pause);
                 }
             }
@@ -72,63 +75,67 @@
     }
 
     /// Whether this daemon has to call the source itself.
-    fn needs_source(&self, sharing: &StateExchange) -> bool {
+    fn needs_source(&self, exchange: &StateExchange) -> bool {
         let is_fetching = self.0.is_fetching_upstreams.get();
-        let knows_nothing = self.horizon().position().is_none() && !is_fetching;
-        sharing.is_watcher() || knows_nothing || self.0.is_alone.get() || self.0.is_behind.get()
+        let has_no_position = self.positions().position().is_none() && !is_fetching;
+        exchange.is_watcher()
+            || has_no_position
+            || self.0.is_isolated.get()
+            || self.0.has_failed_copy.get()
     }
 
-    async fn follow_once(
+    async fn read_or_watch(
         &self,
         source: &dyn Source,
-        sharing: &StateExchange,
+        exchange: &StateExchange,
         has_answered: bool,
     ) -> Result<(), SourceError> {
-        let Some(after) = self.horizon().position() else {
-            return self.read(source).await;
+        let Some(after) = self.positions().position() else {
+            return self.read_all(source).await;
         };
-        // After a failure, what is in force is confirmed before anything is waited for, and
-        // what others told of is not waited for either.
-        let wait = match has_answered && !self.0.is_behind.get() {
+        // After a failure the values in force are confirmed first, without waiting for a
+        // change; the same holds if newer values of another daemon could not be fetched.
+        let wait = match has_answered && !self.0.has_failed_copy.get() {
             true => self.time_to_confirm(),
             false => Duration::ZERO,
         };
-        self.watch(source, after, wait, sharing).await
+        self.watch(source, after, wait, exchange).await
     }
 
-    /// Waits before the source is called again; ends early once other daemons have
-    /// confirmed what is in force.
-    async fn wait_after_failure(&self, pause: Duration, sharing: &StateExchange) {
-        let pause = match sharing.is_watcher() {
+    /// Waits before the source is called again; returns early once other daemons have
+    /// confirmed the values in force.
+    async fn wait_after_failure(&self, pause: Duration, exchange: &StateExchange) {
+        let pause = match exchange.is_watcher() {
             true => pause,
-            false => pause.max(turn_pause(sharing)),
+            false => pause.max(zone_retry_pause(exchange)),
         };
         let until = Instant::now() + pause;
         while let Some(left) = until.checked_duration_since(Instant::now()) {
             compio::time::sleep(left.min(self.options().query_period)).await;
-            if !self.needs_source(sharing) {
+            if !self.needs_source(exchange) {
                 return;
             }
         }
     }
 
-    async fn read(&self, source: &dyn Source) -> Result<(), SourceError> {
-        let asked = BootInstant::now();
+    async fn read_all(&self, source: &dyn Source) -> Result<(), SourceError> {
+        let called_at = BootInstant::now();
         let timeout = self.options().read_timeout;
-        let called = Instant::now();
-        // Later changes that others tell of while it is read are not undone by it.
-        let known = self.horizon();
+        let call_instant = Instant::now();
+        // Taken before the call, so that later changes received from other daemons in the
+        // meantime are not undone.
+        let known = self.positions();
         let Snapshot { position, entries } = source.read(timeout).await?;
-        self.note_answer(called);
+        self.record_source_answer(call_instant);
         if !known.accepts(position) {
             let reason =
-                format!("what was read is of position {position}, older than what is known");
+                format!("the values read are of position {position}, older than the known ones");
             return Err(SourceError::Failed(reason));
         }
-        let provenance = Provenance::read(position, asked.elapsed());
-        self.take_all(position, entries, &provenance);
-        self.0.lease.confirm(asked);
-        self.change_horizon(|horizon| horizon.advance(position));
+        let provenance = Provenance::read(position, called_at.elapsed());
+        self.apply_all(position, entries, &provenance);
+        self.0.lease.confirm(called_at);
+        self.update_positions(|positions| positions.advance(position));
         Ok(())
     }
 
@@ -137,15 +144,16 @@
         source: &dyn Source,
         after: Position,
         wait: Duration,
-        sharing: &StateExchange,
+        exchange: &StateExchange,
     ) -> Result<(), SourceError> {
-        let asked = BootInstant::now();
+        let called_at = BootInstant::now();
         let timeout = self.options().answer_timeout;
-        let called = Instant::now();
+        let call_instant = Instant::now();
         let answer = source.watch(after, wait, timeout).await;
         if matches!(answer, Ok(_) | Err(SourceError::HistoryGone)) {
-            // What others are told of the changes says that the source was there.
-            self.note_answer(called);
+            // Recorded first, since the relayed changes carry the period in which the
+            // source answered.
+            self.record_source_answer(call_instant);
         }
         let Changes {
             position,
@@ -153,26 +161,29 @@
             may_be_truncated,
         } = answer?;
         if changes.is_empty() {
-            // It waited the whole time and nothing had changed by its end.
-            self.change_horizon(|horizon| horizon.advance(position));
-            self.0.lease.confirm(asked.after(wait.min(asked.elapsed())));
+            // The call waited the whole time, and nothing had changed by its end.
+            self.update_positions(|positions| positions.advance(position));
+            self.0
+                .lease
+                .confirm(called_at.after(wait.min(called_at.elapsed())));
             return Ok(());
         }
         let relayed = self.relayed(after, position, &changes, may_be_truncated);
-        self.take_changes(changes, &Provenance::watched(position, asked.elapsed()));
-        self.change_horizon(|horizon| horizon.advance(position));
+        self.apply_changes(changes, &Provenance::watched(position, called_at.elapsed()));
+        self.update_positions(|positions| positions.advance(position));
         if may_be_truncated {
-            // What followed is not known, so nothing is confirmed; and reading
-            // what is published now is sooner done than the rest of its history.
-            trace::changes_may_be_cut(position);
-            self.change_horizon(KnownPositions::reset);
+            // The changes may be followed by others, so nothing is confirmed; reading the
+            // current values is faster than reading the rest of the history.
+            trace::changes_may_be_truncated(position);
+            self.update_positions(KnownPositions::reset);
         } else {
-            self.0.lease.confirm(asked);
+            self.0.lease.confirm(called_at);
         }
-        // Where nobody who watches is in touch, whoever gets through tells the others.
-        if sharing.is_watcher() || self.0.is_alone.get() {
+        // If no watcher is in touch with the source, any daemon that reaches it relays the
+        // changes.
+        if exchange.is_watcher() || self.0.is_isolated.get() {
             for relayed in relayed {
-                sharing.tell_changed(relayed).await;
+                exchange.relay_changes(relayed).await;
             }
         }
         if !may_be_truncated {
@@ -185,16 +196,16 @@
         Ok(())
     }
 
-    /// Time until what is in force has to be confirmed again.
+    /// Time until the values in force have to be confirmed again.
     ///
-    /// An answer with changes confirms what was in force when it was asked for, so the next
-    /// one may not be waited for as long.
+    /// An answer with changes confirms the values as of the moment of the call, so the next
+    /// call may wait less.
     fn time_to_confirm(&self) -> Duration {
         let age = self.0.lease.age().unwrap_or_default();
         self.options().watch_wait.saturating_sub(age)
     }
 
-    /// What the other daemons of the zone are told of changes.
+    /// The changes in the form in which the other daemons of the zone receive them.
     fn relayed(
         &self,
         after: Position,
@@ -214,7 +225,7 @@
             .iter()
             .filter_map(|change| self.upstream_change(change))
             .collect();
-        // Of changes that may be cut, those are known that are there.
+        // Of changes that may be truncated only those received are known.
         let last = upstreams.iter().map(UpstreamChange::position).max();
         let up_to = match may_be_truncated {
             true => last.unwrap_or(after),
@@ -229,20 +240,21 @@
         relayed.collect()
     }
 
-    /// Takes in changes that the source told of.
-    fn take_changes(&self, changes: Vec<Change>, provenance: &Provenance) {
+    /// Applies changes that the source reported.
+    fn apply_changes(&self, changes: Vec<Change>, provenance: &Provenance) {
         for change in changes {
             match change {
-                Change::Written(entry) => self.take_entry(entry, provenance),
+                Change::Written(entry) => self.apply_entry(entry, provenance),
                 Change::UpstreamGone { id, position } => {
-                    self.take_missing(id, Removal::observed_at(position), provenance);
+                    self.apply_removal(id, Removal::observed_at(position), provenance);
                 }
             }
         }
-        self.pass_on_upstreams();
+        self.sync_upstreams();
     }
 
-    /// What the other daemons are told of a change, if it is one of an upstream.
+    /// A change in the form in which the other daemons receive it, if it concerns an
+    /// upstream.
     fn upstream_change(&self, change: &Change) -> Option<UpstreamChange> {
         let kind = match change {
             Change::Written(Entry::Upstream(upstream)) => {
@@ -265,13 +277,13 @@
     }
 }
 
-/// Time until it is this daemon's turn again to call a source that fails.
+/// Time until this daemon calls a failing source again.
 ///
-/// Drawn anew each time from half to one and a half times the mean, so that the
-/// daemons of a zone don't call at the same moment.
-fn turn_pause(sharing: &StateExchange) -> Duration {
-    let daemons = u32::try_from(sharing.zone_daemons()).unwrap_or(u32::MAX);
+/// Drawn anew each time between half and one and a half times the mean, so that the daemons
+/// of a zone don't call at the same moment.
+fn zone_retry_pause(exchange: &StateExchange) -> Duration {
+    let daemons = u32::try_from(exchange.zone_daemon_count()).unwrap_or(u32::MAX);
     let mean = ZONE_RETRY_PERIOD.saturating_mul(daemons);
-    let drawn = xxh3_64(&sharing.next_draw().to_le_bytes());
+    let drawn = xxh3_64(&exchange.next_nonce().to_le_bytes());
     mean.mul_f64(0.5 + drawn as f64 / u64::MAX as f64)
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The handle that a daemon holds.
+//! The gateway, as a daemon uses it.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -20,25 +20,25 @@
 use crate::options::GatewayOptions;
 use crate::published::Published;
 use crate::quarantine::QuarantinedRequest;
-use crate::reservations::Orders;
+use crate::reservations::ReservationClient;
 use crate::retry_budget::RetryBudget;
 use crate::{trace, zones};
 
-/// The neighbours that a [`Gateway`] asks.
+/// Dependencies of a [`Gateway`].
 pub struct GatewayParts {
-    /// Settings.
+    /// Settings of the gateway.
     pub options: GatewayOptions,
-    /// What callers and upstreams speak.
+    /// Translates the formats of callers and upstreams.
     pub dialect: Rc<dyn Dialect>,
     /// Connections to upstreams.
     pub connections: Connections,
-    /// The upstreams and what they are doing.
+    /// The upstreams and their load.
     pub upstreams: Upstreams,
-    /// What is in force.
+    /// The published values in force.
     pub published: Published,
-    /// The other daemons.
+    /// Membership of the other daemons.
     pub peers: Peers,
-    /// Counters and histograms.
+    /// Metrics of the daemon.
     pub metrics: Metrics,
 }
 
@@ -55,47 +55,47 @@
 #[derive(Debug)]
 struct Shared {
     parts: GatewayParts,
-    budget: RetryBudget,
-    orders: Orders,
+    retry_budget: RetryBudget,
+    reservation_client: ReservationClient,
     drain: Drain,
     in_progress: Cell<usize>,
-    turn: Cell<u64>,
-    most_daemons: Cell<usize>,
+    request_counter: Cell<u64>,
+    max_daemons_seen: Cell<usize>,
 }
 
 impl Gateway {
-    /// Gateway over its neighbours.
+    /// Creates a gateway.
     #[must_use]
     pub fn new(parts: GatewayParts) -> Self {
-        let budget = RetryBudget::new(parts.options.retry_limit);
-        let orders = Orders {
+        let retry_budget = RetryBudget::new(parts.options.retry_limit);
+        let reservation_client = ReservationClient {
             connections: parts.connections.clone(),
             dialect: Rc::clone(&parts.dialect),
             hold: parts.options.reservation_hold,
         };
         Self(Rc::new(Shared {
             parts,
-            budget,
-            orders,
+            retry_budget,
+            reservation_client,
             drain: Drain::default(),
             in_progress: Cell::new(0),
-            turn: Cell::new(0),
-            most_daemons: Cell::new(1),
+            request_counter: Cell::new(0),
+            max_daemons_seen: Cell::new(1),
         }))
     }
 
-    /// Watches over the reachability of the other zones, for ever.
+    /// Probes the availability zones from which nothing has been received, forever.
     pub async fn watch_zones(self) {
         let parts = self.parts();
-        zones::watch(parts.upstreams.clone(), parts.connections.clone()).await;
+        zones::probe_quiet_zones(parts.upstreams.clone(), parts.connections.clone()).await;
     }
 
     /// Answers one request of the caller at `peer`.
     pub async fn handle(self, request: Request<Incoming>, peer: SocketAddr) -> Response<Body> {
-        call::answer(self, request, peer).await
+        call::handle(self, request, peer).await
     }
 
-    /// Whether new callers should come here.
+    /// Whether the load balancer should send new callers here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let published = &self.0.parts.published;
@@ -107,7 +107,7 @@
                 .is_younger_than(self.options().ready_lease)
     }
 
-    /// Records what changes by itself in the metrics, for a scrape.
+    /// Updates the gauges of current state, before metrics are scraped.
     pub fn record_state(&self) {
         let metrics = &self.0.parts.metrics;
         if let Some(age) = self.0.parts.published.lease().age() {
@@ -122,34 +122,35 @@
         metrics.peers(PeerState::Suspected, members.len() as u64 - live);
     }
 
-    /// Requests that are kept from all upstreams, as these crash under them.
+    /// Quarantined requests: upstreams crashed while running them.
     #[must_use]
     pub fn quarantined(&self) -> Vec<QuarantinedRequest> {
         let quarantined = self.0.parts.upstreams.quarantined();
         quarantined.into_iter().map(Into::into).collect()
     }
 
-    /// Ends the quarantine of a request at all daemons; whether there was one.
+    /// Ends the quarantine of a request at all daemons; returns whether crashes were
+    /// recorded under it.
     pub fn lift_quarantine(&self, fingerprint: Fingerprint) -> bool {
-        let was_kept = self.0.parts.upstreams.clear(fingerprint.name());
-        if was_kept {
-            trace::cleared(fingerprint, "lifted by the operator");
+        let was_recorded = self.0.parts.upstreams.clear(fingerprint.name());
+        if was_recorded {
+            trace::request_cleared(fingerprint, "lifted by the operator");
         }
-        was_kept
+        was_recorded
     }
 
-    /// Begins the planned stop.
+    /// Starts the graceful shutdown.
     pub fn begin_drain(&self) {
         self.0.drain.begin();
     }
 
-    /// Whether what comes in is refused by now.
+    /// Whether new requests are refused by now.
     #[must_use]
     pub fn is_refusing(&self) -> bool {
         self.stage() == Stage::Refusing
     }
 
-    /// Requests that are not yet answered whole.
+    /// Number of requests whose answer is not complete.
     #[must_use]
     pub fn in_progress(&self) -> usize {
         self.0.in_progress.get()
@@ -167,53 +168,54 @@
         &self.0.parts
     }
 
-    pub(crate) fn budget(&self) -> &RetryBudget {
-        &self.0.budget
+    pub(crate) fn retry_budget(&self) -> &RetryBudget {
+        &self.0.retry_budget
     }
 
-    pub(crate) fn orders(&self) -> &Orders {
-        &self.0.orders
+    pub(crate) fn reservation_client(&self) -> &ReservationClient {
+        &self.0.reservation_client
     }
 
-    /// A number that differs from request to request.
-    pub(crate) fn next_turn(&self) -> u64 {
-        let turn = self.0.turn.get();
-        self.0.turn.set(turn.wrapping_add(1));
-        turn
+    /// A number that increases with each request.
+    pub(crate) fn next_request_number(&self) -> u64 {
+        let number = self.0.request_counter.get();
+        self.0.request_counter.set(number.wrapping_add(1));
+        number
     }
 
-    /// Daemons that may be sending, this one included.
+    /// Number of daemons that may be sending requests, this one included.
     ///
-    /// Those that were there once may be so still, behind a partition.
-    pub(crate) fn daemons(&self) -> usize {
+    /// It never decreases: a daemon that is no longer a member may still run behind a
+    /// network partition.
+    pub(crate) fn daemon_count(&self) -> usize {
         let members = self.0.parts.peers.members().len();
-        let most = self.0.most_daemons.get().max(members);
-        self.0.most_daemons.set(most);
-        most
+        let count = self.0.max_daemons_seen.get().max(members);
+        self.0.max_daemons_seen.set(count);
+        count
     }
 
-    /// Leaves an upstream out for a while after a failure of a request there.
-    pub(crate) fn leave_out(&self, upstream: UpstreamKey, failure: Failure, request: &str) {
+    /// Ejects an upstream for a while after `request` failed there.
+    pub(crate) fn eject(&self, upstream: UpstreamKey, failure: Failure, request: &str) {
         let upstreams = &self.0.parts.upstreams;
         if let Some(time) = upstreams.failed(upstream, failure) {
             let id = upstreams.id_of(upstream).unwrap_or_default();
-            trace::upstream_left_out(&id, failure, time, request);
+            trace::upstream_ejected(&id, failure, time, request);
         }
     }
 
-    /// Counts a request as in progress while the guard lives.
-    pub(crate) fn begin(&self) -> InProgress {
+    /// Counts a request as in progress until the guard is dropped.
+    pub(crate) fn begin_request(&self) -> InProgress {
         self.0.in_progress.set(self.0.in_progress.get() + 1);
         InProgress(self.clone())
     }
 
-    /// Longest time for an upstream to show that it works on a request.
+    /// Longest time for an upstream to show progress on a request.
     pub(crate) fn stall_timeout(&self) -> Duration {
         self.options().stall_timeout
     }
 }
 
-/// One request in progress.
+/// Guard of a request in progress.
 #[derive(Debug)]
 pub(crate) struct InProgress(Gateway);
 
--- a/crates/gateway/src/known_positions.rs
+++ b/crates/gateway/src/known_positions.rs
@@ -1,20 +1,20 @@
-//! How far a daemon knows what is published.
+//! Positions up to which a daemon knows the published changes.
 //!
-//! The source counts its changes; a position names one of them. A daemon that knows all
-//! changes up to its position can follow on from there, by the source's answers or by
-//! other daemons' words. It may lose that thread, when the source has dropped the history
-//! or an answer may have been cut; everything has to be read then. What it knew before
-//! stays known: a reading that is older than that is refused.
+//! The source numbers its changes; a position is such a number. A daemon that knows all
+//! changes up to a position can continue from there, with answers of the source or of other
+//! daemons. If the source has dropped the history, or an answer may have been truncated, it
+//! can't continue, and everything has to be read again. What it knew before still counts: a
+//! full read that is older is rejected.
 //!
-//! Upstreams and the configuration are followed apart: a change of an upstream is taken in
-//! whether or not a configuration before it is known.
+//! Upstreams and the configuration are tracked separately: a change of an upstream is
+//! applied whether or not an earlier configuration is known.
 
 use crate::dialect::Position;
 
-/// How far changes are known.
+/// Positions up to which changes are known.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct KnownPositions {
-    /// Furthest position of which something is known.
+    /// Highest position of which anything is known.
     furthest: Option<Position>,
     /// Position up to which all changes of upstreams are known.
     upstreams: Option<Position>,
@@ -41,32 +41,32 @@
         self.configuration
     }
 
-    /// Whether everything as of `position` may replace what is known.
+    /// Whether a full read as of `position` may replace the known values.
     #[must_use]
     pub fn accepts(&self, position: Position) -> bool {
         self.furthest <= Some(position)
     }
 
-    /// Notes that all changes up to `position` are known.
+    /// Records that all changes up to `position` are known.
     pub fn advance(&mut self, position: Position) {
         self.advance_upstreams(position);
         self.advance_configuration(position);
     }
 
-    /// Notes that all changes of upstreams up to `position` are known.
+    /// Records that all changes of upstreams up to `position` are known.
     pub fn advance_upstreams(&mut self, position: Position) {
         self.upstreams = self.upstreams.max(Some(position));
         self.furthest = self.furthest.max(Some(position));
     }
 
-    /// Notes that all changes of the configuration up to `position` are known.
+    /// Records that all changes of the configuration up to `position` are known.
     pub fn advance_configuration(&mut self, position: Position) {
         self.configuration = self.configuration.max(Some(position));
         self.furthest = self.furthest.max(Some(position));
     }
 
-    /// Notes all changes of upstreams from `after` up to `position`; whether they follow on
-    /// what is known.
+    /// Records all changes of upstreams from `after` up to `position`; returns whether they
+    /// continue the known ones without a gap.
     pub fn follow_upstreams(&mut self, after: Position, position: Position) -> bool {
         let follows = self.upstreams.is_some_and(|known| known >= after);
         if follows {
@@ -75,8 +75,8 @@
         follows
     }
 
-    /// Notes that the configuration has not changed from `after` up to `position`; whether
-    /// that follows on what is known.
+    /// Records that the configuration has not changed from `after` up to `position`;
+    /// returns whether that continues the known changes without a gap.
     pub fn follow_configuration(&mut self, after: Position, position: Position) -> bool {
         let follows = self.configuration.is_some_and(|known| known >= after);
         if follows {
@@ -85,7 +85,7 @@
         follows
     }
 
-    /// Notes that changes may be missing, so that everything has to be read.
+    /// Records that changes may be missing, so that everything has to be read again.
     pub fn reset(&mut self) {
         self.upstreams = None;
         self.configuration = None;
--- a/crates/gateway/src/lease.rs
+++ b/crates/gateway/src/lease.rs
@@ -1,28 +1,28 @@
-//! How long published values may be relied upon without being confirmed.
+//! Lease on the published values: how long they may be used without a confirmation.
 //!
-//! A key that operators took back must not be served past a bound, whether this
-//! process is in touch with the platform or not. So each answer of the platform
-//! confirms what is in force as of the moment at which it was asked for, and
-//! requests that depend on a key are served only while that moment is near.
+//! A revoked key must not be accepted beyond a bound, whether this process reaches the
+//! platform or not. Each answer of the platform therefore confirms the values in force as
+//! of the moment at which the call was made, and requests that depend on a key are served
+//! only for a limited time after that.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use crate::boot_clock::BootInstant;
 
-/// Lease on the published values; clones do not share it.
+/// Lease on the published values.
 #[derive(Debug, Default)]
 pub struct Lease {
     confirmed: Cell<Option<BootInstant>>,
 }
 
 impl Lease {
-    /// Notes that the values in force were current at `moment`.
+    /// Records that the values in force were current at `moment`.
     pub(crate) fn confirm(&self, moment: BootInstant) {
         self.confirmed.set(self.confirmed.get().max(Some(moment)));
     }
 
-    /// Time since the values in force were known to be current; none if never.
+    /// Time since the values in force were known to be current; `None` if they never were.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
         self.confirmed.get().map(BootInstant::elapsed)
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,13 +1,12 @@
-//! Routed requests from callers to upstreams.
+//! Proxies routed requests from callers to upstreams.
 //!
-//! Owns a routed request from its head to the last byte of its answer: which
-//! route and organisation it is of (`call`), whether this daemon may serve it
-//! now (`published`, `lease`), where it is sent and what follows a failed
-//! attempt (`attempts`, `budget`, `quarantine`), and the relay of its answer (`answer`,
-//! `relay`). Bodies pass through unread. What callers, upstreams and the
-//! publishing platform speak is translated by the edges in [`Dialect`] and
-//! [`Source`]; the choice of upstreams is `mangofront-engines`', and other
-//! daemons hear of it by `sharing`.
+//! This crate handles a routed request from its head to the last byte of its answer: it
+//! finds the route and the organisation (`call`), decides whether this daemon may serve the
+//! request now (`published`, `lease`), sends it and handles failed attempts (`attempts`,
+//! `retry_budget`, `quarantine`), and relays the answer (`answer`, `relay`). Bodies are not
+//! parsed. The formats of callers, upstreams and the publishing platform are translated by
+//! [`Dialect`] and [`Source`]. `mangofront-engines` selects the upstreams, and
+//! `state_exchange` broadcasts each selection to the other daemons.
 
 mod answer;
 mod attempts;
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -6,15 +6,15 @@
 
 use crate::retry_budget::RetryLimit;
 
-/// How long requests with a key are served without a confirmation, unless set.
+/// Default of the time for which requests with a key are served without a confirmation.
 const DEFAULT_KEY_LEASE: Duration = Duration::from_secs(5);
 
-/// Share of the key lease after which no request with a key is served.
+/// Share of the key lease after which requests with a key are refused.
 ///
-/// The rest covers a second in which a watch hears nothing of a change.
+/// The rest covers a second in which a watch misses a change.
 const KEY_LEASE_SHARE: f64 = 0.74;
 
-/// Share of the key lease after which new callers should go elsewhere.
+/// Share of the key lease after which the daemon reports that it is not ready.
 const READY_LEASE_SHARE: f64 = 0.6;
 
 /// Settings of a [`crate::Gateway`].
@@ -30,7 +30,7 @@
 }
 
 impl GatewayOptions {
-    /// Starts from the daemon's own name.
+    /// Creates a builder with the name of this daemon.
     #[must_use]
     pub fn builder(instance: impl Into<InstanceId>) -> GatewayOptionsBuilder {
         GatewayOptionsBuilder {
@@ -54,14 +54,14 @@
 }
 
 impl GatewayOptionsBuilder {
-    /// Longest time for which a key that was taken back may be served; 5 s by default.
+    /// Longest time for which a revoked key may be accepted; 5 s by default.
     #[must_use]
     pub fn key_lease(mut self, time: Duration) -> Self {
         self.key_lease = time;
         self
     }
 
-    /// Limit on what is sent again, of all daemons together.
+    /// Limit on retries of all daemons together.
     #[must_use]
     pub fn retry_limit(mut self, limit: RetryLimit) -> Self {
         self.retry_limit = limit;
@@ -75,14 +75,14 @@
         self
     }
 
-    /// Time after which engines give up on one that helps them; 1.5 s by default.
+    /// Time after which engines give up on a helper; 1.5 s by default.
     #[must_use]
     pub fn stall_timeout(mut self, time: Duration) -> Self {
         self.stall_timeout = time;
         self
     }
 
-    /// Fixes the settings.
+    /// Builds the settings.
     #[must_use]
     pub fn build(self) -> GatewayOptions {
         GatewayOptions {
--- a/crates/gateway/src/provenance.rs
+++ b/crates/gateway/src/provenance.rs
@@ -1,7 +1,7 @@
-//! From whom a daemon learned of something that is published.
+//! Where a daemon learned of a published value.
 //!
-//! Each line that tells of a change carries it, so that a daemon that acted on an
-//! outdated belief can be told from one that was told something wrong, and by whom.
+//! Each log line about a change carries this, which distinguishes a daemon that acted on
+//! outdated values from one that received wrong values, and shows who sent them.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -14,18 +14,18 @@
 /// Name of the source in log lines.
 const SOURCE: &str = "platform";
 
-/// How something was learned.
+/// How a value was learned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Channel {
-    /// Everything was read at the source.
+    /// By a full read from the source.
     Read,
-    /// The source told of changes.
+    /// By watching the changes at the source.
     Watch,
-    /// A daemon that watches passed changes on.
+    /// From a watcher that relayed changes.
     Relay,
-    /// Another daemon told of changes when it was asked.
+    /// From another daemon's reply to a query.
     Answer,
-    /// Another daemon handed over all that it has in force.
+    /// From a copy of another daemon's values.
     Copy,
 }
 
@@ -42,30 +42,30 @@
     }
 }
 
-/// How, from whom and as of when something was learned.
+/// How, from where and as of when a value was learned.
 #[derive(Debug, Clone)]
 pub(crate) struct Provenance {
     pub(crate) channel: Channel,
-    /// The source, or the daemon that told.
+    /// The source, or the daemon that sent the value.
     pub(crate) from: String,
-    /// Position up to which the teller knew all changes.
+    /// Position up to which the sender knew all changes.
     pub(crate) position: Position,
-    /// Time since that was known to be current, where the teller says it.
+    /// Time since that was known to be current, if the sender reports it.
     pub(crate) age: Option<Duration>,
 }
 
 impl Provenance {
-    /// The source's answer to a reading that began `age` ago.
+    /// A full read from the source that began `age` ago.
     pub(crate) fn read(position: Position, age: Duration) -> Self {
         Self::of_source(Channel::Read, position, age)
     }
 
-    /// The source's answer to a watch that began `age` ago.
+    /// An answer to a watch call that began `age` ago.
     pub(crate) fn watched(position: Position, age: Duration) -> Self {
         Self::of_source(Channel::Watch, position, age)
     }
 
-    /// Changes that the daemon at `from` passed on.
+    /// Changes that the daemon at `from` relayed.
     pub(crate) fn relayed(from: IpAddr, position: Position) -> Self {
         Self {
             channel: Channel::Relay,
@@ -75,17 +75,17 @@
         }
     }
 
-    /// Changes that the daemon at `from` told of when it was asked.
-    pub(crate) fn answered(from: IpAddr, known: &Confirmation) -> Self {
+    /// Changes in a reply of the daemon at `from`.
+    pub(crate) fn answered(from: IpAddr, confirmation: &Confirmation) -> Self {
         Self {
             channel: Channel::Answer,
             from: from.to_string(),
-            position: known.upstreams_position,
-            age: Some(known.age()),
+            position: confirmation.upstreams_position,
+            age: Some(confirmation.age()),
         }
     }
 
-    /// What `from` had in force.
+    /// A copy of the values of `from`.
     pub(crate) fn copied(from: &InstanceId, position: Position) -> Self {
         Self {
             channel: Channel::Copy,
--- a/crates/gateway/src/published.rs
+++ b/crates/gateway/src/published.rs
@@ -1,9 +1,9 @@
-//! What is published, as this daemon has it in force.
+//! The published values that this daemon has in force.
 //!
-//! A configuration comes into force only if its version is higher than the one
-//! before it, so that a source that serves old values can't bring one back; of an upstream
-//! the last change holds, whoever tells of it. Where the values come from is decided in
-//! `follow` and `confirm`. Which upstreams are used, see `registrations`.
+//! A configuration comes into force only if its version is higher than that of the one
+//! before, so that a source that serves old values can't bring one back. Of an upstream the
+//! last change wins, whichever daemon reports it. `follow` and `confirm` decide where the
+//! values come from, `registrations` which upstreams are in use.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,9 +18,9 @@
 use mangofront_upstream::Connections;
 
 use crate::boot_clock::BootInstant;
-use crate::copies::{CopyOf, CopyPart, HandedOut, Wanted};
+use crate::copies::{CopyCache, CopyId, CopyPart, CopyRequest};
 use crate::datagram::{
-    AnsweredAges, Confirmation, UpstreamChange, UpstreamChangeKind, UpstreamChanges,
+    AnsweredPeriodAges, Confirmation, UpstreamChange, UpstreamChangeKind, UpstreamChanges,
 };
 use crate::dialect::{Entry, Position};
 use crate::known_positions::KnownPositions;
@@ -28,7 +28,7 @@
 use crate::provenance::Provenance;
 use crate::published_options::PublishedOptions;
 use crate::registrations::{RegisterOutcome, Registrations, Removal, RemovalOutcome};
-use crate::signal::{Call, Wakeup};
+use crate::signal::{Signal, Waiters};
 use crate::source_availability::{AnsweredPeriod, SourceAvailability};
 use crate::trace;
 
@@ -43,35 +43,36 @@
     connections: Connections,
     table: RefCell<Option<Rc<RouteTable>>>,
     registrations: RefCell<Registrations>,
-    contact: Cell<SourceAvailability>,
+    availability: Cell<SourceAvailability>,
     pub(crate) lease: Lease,
-    horizon: Cell<KnownPositions>,
-    handed_out: HandedOut,
-    /// Longest time by which others knew of a departure before.
+    positions: Cell<KnownPositions>,
+    copy_cache: CopyCache,
+    /// Longest propagation delay with which this daemon learned of a departure.
     longest_departure_delay: Cell<Duration>,
-    /// Whether the source itself confirmed what is in force last.
-    pub(crate) is_first_hand: Cell<bool>,
-    /// Whether nobody in touch with the source answered the last question.
-    pub(crate) is_alone: Cell<bool>,
-    /// Whether what others tell of could not be had from them.
-    pub(crate) is_behind: Cell<bool>,
+    /// Whether the source itself, not another daemon, gave the last confirmation.
+    pub(crate) is_source_confirmed: Cell<bool>,
+    /// Whether the last query reached no daemon that is in touch with the source.
+    pub(crate) is_isolated: Cell<bool>,
+    /// Whether another daemon has newer state of which no copy could be fetched.
+    pub(crate) has_failed_copy: Cell<bool>,
     /// Whether a copy of the configuration is being fetched.
     pub(crate) is_fetching_configuration: Cell<bool>,
     /// Whether a copy of all upstreams is being fetched.
     pub(crate) is_fetching_upstreams: Cell<bool>,
-    /// When other daemons were last asked.
-    pub(crate) last_asked: Cell<Option<BootInstant>>,
-    /// Ends the wait between two questions to other daemons.
-    pub(crate) ask_soon: Call,
-    /// Ends the wait of who has no need of the source.
-    pub(crate) source_needed: Call,
-    /// Ends the wait for an answer to a question.
-    pub(crate) asked: Wakeup,
+    /// When other daemons were last queried.
+    pub(crate) last_query: Cell<Option<BootInstant>>,
+    /// Ends the wait between two queries to other daemons.
+    pub(crate) query_soon: Signal,
+    /// Ends the wait of a daemon that does not need the source.
+    pub(crate) source_needed: Signal,
+    /// Ends the wait for the end of a query.
+    pub(crate) query_done: Waiters,
 }
 
 impl Published {
-    /// Nothing is in force yet; changes of upstreams go to `upstreams`, and unused
-    /// `connections` to an earlier life of one are closed.
+    /// Creates a state without any values. Changes of upstreams go to `upstreams`; when an
+    /// upstream has started again, the unused `connections` to its earlier incarnation are
+    /// closed.
     #[must_use]
     pub fn new(options: PublishedOptions, upstreams: Upstreams, connections: Connections) -> Self {
         Self(Rc::new(Shared {
@@ -80,20 +81,20 @@
             connections,
             table: RefCell::default(),
             registrations: RefCell::default(),
-            contact: Cell::default(),
+            availability: Cell::default(),
             lease: Lease::default(),
-            horizon: Cell::default(),
-            handed_out: HandedOut::default(),
+            positions: Cell::default(),
+            copy_cache: CopyCache::default(),
             longest_departure_delay: Cell::default(),
-            is_first_hand: Cell::default(),
-            is_alone: Cell::default(),
-            is_behind: Cell::default(),
+            is_source_confirmed: Cell::default(),
+            is_isolated: Cell::default(),
+            has_failed_copy: Cell::default(),
             is_fetching_configuration: Cell::default(),
             is_fetching_upstreams: Cell::default(),
-            last_asked: Cell::default(),
-            ask_soon: Call::default(),
-            source_needed: Call::default(),
-            asked: Wakeup::default(),
+            last_query: Cell::default(),
+            query_soon: Signal::default(),
+            source_needed: Signal::default(),
+            query_done: Waiters::default(),
         }))
     }
 
@@ -103,49 +104,51 @@
         self.0.table.borrow().clone()
     }
 
-    /// Lease on what is in force.
+    /// The lease on the values in force.
     #[must_use]
     pub fn lease(&self) -> &Lease {
         &self.0.lease
     }
 
-    /// Longest time by which others knew before that an upstream leaves or has left.
+    /// Longest time that other daemons had known of a departure before this one learned of
+    /// it.
     #[must_use]
     pub fn longest_departure_delay(&self) -> Duration {
         self.0.longest_departure_delay.get()
     }
 
-    fn note_departure(&self, delay: Duration) {
+    fn record_departure_delay(&self, delay: Duration) {
         self.0
             .longest_departure_delay
             .set(self.longest_departure_delay().max(delay));
     }
 
-    /// Whether any upstream is known.
+    /// Whether any upstream is in use.
     #[must_use]
     pub fn has_upstreams(&self) -> bool {
         self.0.registrations.borrow().in_use().next().is_some()
     }
 
-    /// How far changes are known here.
-    pub(crate) fn horizon(&self) -> KnownPositions {
-        self.0.horizon.get()
+    /// Positions up to which changes are known.
+    pub(crate) fn positions(&self) -> KnownPositions {
+        self.0.positions.get()
     }
 
-    /// Notes how far changes are known now.
-    pub(crate) fn change_horizon(&self, change: impl FnOnce(&mut KnownPositions)) {
-        let mut horizon = self.horizon();
-        change(&mut horizon);
-        self.0.horizon.set(horizon);
+    /// Updates the positions up to which changes are known.
+    pub(crate) fn update_positions(&self, change: impl FnOnce(&mut KnownPositions)) {
+        let mut positions = self.positions();
+        change(&mut positions);
+        self.0.positions.set(positions);
     }
 
-    /// How far this daemon knows what is published.
+    /// What this daemon knows of the published values, for a reply to a query; `None`
+    /// before it knows anything.
     pub(crate) fn confirmation(&self) -> Option<Confirmation> {
         let age = self.0.lease.age()?;
-        let horizon = self.horizon();
+        let positions = self.positions();
         Some(Confirmation {
-            upstreams_position: horizon.upstreams()?,
-            configuration_position: horizon.configuration()?,
+            upstreams_position: positions.upstreams()?,
+            configuration_position: positions.configuration()?,
             configuration: self.version(),
             age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
             is_in_touch: self.is_in_touch(),
@@ -153,69 +156,71 @@
         })
     }
 
-    /// Whether the last call to the source, or the last question to others, was answered.
+    /// Whether the last call to the source, or the last query to other daemons, succeeded.
     fn is_in_touch(&self) -> bool {
-        let is_told = !self.0.is_alone.get() && !self.0.contact.get().is_failing();
-        self.0.is_first_hand.get() || is_told
+        let is_confirmed_by_peers =
+            !self.0.is_isolated.get() && !self.0.availability.get().is_failing();
+        self.0.is_source_confirmed.get() || is_confirmed_by_peers
     }
 
-    /// Version of the configuration in force.
     pub(crate) fn version(&self) -> Option<ConfigurationVersion> {
         self.0.table.borrow().as_ref().map(|table| table.version())
     }
 
-    /// Since when and until when the source is known to have answered.
-    pub(crate) fn answered(&self) -> Option<AnsweredAges> {
-        let answered = self.0.contact.get().last_answered()?;
-        Some(AnsweredAges::of(answered, Instant::now()))
+    /// The period in which the source is known to have answered.
+    pub(crate) fn answered(&self) -> Option<AnsweredPeriodAges> {
+        let answered = self.0.availability.get().last_answered()?;
+        Some(AnsweredPeriodAges::of(answered, Instant::now()))
     }
 
-    /// Notes that the source has just answered a call of `asked`.
-    pub(crate) fn note_answer(&self, asked: Instant) {
-        self.0.is_first_hand.set(true);
-        self.change_contact(|contact| contact.record_answer(asked, Instant::now()));
+    /// Records that the source has just answered a call made at `called_at`.
+    pub(crate) fn record_source_answer(&self, called_at: Instant) {
+        self.0.is_source_confirmed.set(true);
+        self.update_availability(|availability| {
+            availability.record_answer(called_at, Instant::now())
+        });
     }
 
-    /// Notes that a call to the source has failed.
-    pub(crate) fn note_failure(&self) {
-        self.0.is_first_hand.set(false);
-        self.change_contact(SourceAvailability::record_failure);
+    /// Records that a call to the source failed.
+    pub(crate) fn record_source_failure(&self) {
+        self.0.is_source_confirmed.set(false);
+        self.update_availability(SourceAvailability::record_failure);
     }
 
-    /// Takes in what another daemon knows of the source's answers.
-    pub(crate) fn note_heard(&self, answered: Option<AnsweredAges>) {
+    /// Merges what another daemon knows of the source's answers.
+    pub(crate) fn merge_answered(&self, answered: Option<AnsweredPeriodAges>) {
         let now = Instant::now();
         let Some(answered): Option<AnsweredPeriod> = answered.and_then(|ages| ages.at(now)) else {
             return;
         };
-        self.change_contact(|contact| contact.merge(answered, now));
+        self.update_availability(|availability| availability.merge(answered, now));
     }
 
-    fn change_contact(&self, change: impl FnOnce(&mut SourceAvailability)) {
-        let mut contact = self.0.contact.get();
-        change(&mut contact);
-        self.0.contact.set(contact);
+    fn update_availability(&self, change: impl FnOnce(&mut SourceAvailability)) {
+        let mut availability = self.0.availability.get();
+        change(&mut availability);
+        self.0.availability.set(availability);
         let grace = self.0.options.lapse_grace;
-        if contact.keep_until(Instant::now(), grace).is_none() {
+        if availability.grace_until(Instant::now(), grace).is_none() {
             self.end_all_grace();
         }
     }
 
-    /// Uses no upstream any longer that may only have lapsed: the source was there.
+    /// Ends all grace periods: the source was available, so no registration lapsed.
     fn end_all_grace(&self) {
         let ended = self.0.registrations.borrow_mut().end_all_grace();
         if ended.is_empty() {
             return;
         }
         for id in &ended {
-            trace::keeping_ended(id);
+            trace::grace_ended(id);
         }
-        self.pass_on_upstreams();
+        self.sync_upstreams();
     }
 
     /// First page of the changes of upstreams after a position, if they are known.
     pub(crate) fn changes_after(&self, after: Option<Position>) -> Option<UpstreamChanges> {
-        let (after, up_to) = (after?, self.horizon().upstreams()?);
+        let (after, up_to) = (after?, self.positions().upstreams()?);
         let registrations = self.0.registrations.borrow();
         let changes = registrations.changes_after(after)?;
         let changes = changes.map(|(id, record)| UpstreamChange::of(id, record));
@@ -223,15 +228,15 @@
         pages.into_iter().next()
     }
 
-    /// Takes in changes of upstreams that another daemon tells of.
-    pub(crate) fn take_told(&self, changes: Vec<UpstreamChange>, provenance: &Provenance) {
+    /// Applies changes of upstreams that another daemon sent.
+    pub(crate) fn apply_peer_changes(&self, changes: Vec<UpstreamChange>, provenance: &Provenance) {
         let mut has_changed = false;
         for change in changes {
             let delay = change.known_for();
             has_changed |= match change.kind {
                 UpstreamChangeKind::Registered(upstream) => {
                     let may_be_removed = self.0.registrations.borrow().may_be_removed(&upstream);
-                    !may_be_removed && self.take_upstream(upstream, delay, provenance)
+                    !may_be_removed && self.apply_registration(upstream, delay, provenance)
                 }
                 UpstreamChangeKind::Gone {
                     id,
@@ -243,55 +248,57 @@
                         is_announced,
                         delay,
                     };
-                    self.take_missing(id, removal, provenance)
+                    self.apply_removal(id, removal, provenance)
                 }
             };
         }
         if has_changed {
-            self.pass_on_upstreams();
+            self.sync_upstreams();
         }
     }
 
-    /// Whether an upstream is known to have said that it leaves.
+    /// Whether an upstream is known to have announced its shutdown.
     pub(crate) fn is_announced(&self, id: &UpstreamId) -> bool {
         let registrations = self.0.registrations.borrow();
         let record = registrations.record(id);
         record.is_some_and(|record| record.state.is_announced())
     }
 
-    /// Answers a daemon that asks for a copy of what is in force here.
+    /// Answers a daemon that requests a copy of the values in force.
     ///
-    /// The answer is empty where there is none, or the copy that was begun is replaced.
+    /// The answer is empty if there is nothing to copy, or if the requested copy is no
+    /// longer cached.
     #[must_use]
-    pub fn answer_copy_request(&self, request: &[u8]) -> Bytes {
-        let part = Wanted::read(request).and_then(|wanted| self.copy_part(wanted));
-        part.map(|part| part.write()).unwrap_or_default()
+    pub fn answer_copy_request(&self, bytes: &[u8]) -> Bytes {
+        let part = CopyRequest::decode(bytes).and_then(|request| self.copy_part(request));
+        part.map(|part| part.encode()).unwrap_or_default()
     }
 
-    fn copy_part(&self, wanted: Wanted) -> Option<CopyPart> {
-        let handed_out = &self.0.handed_out;
-        match wanted {
-            Wanted::Configuration => {
+    fn copy_part(&self, request: CopyRequest) -> Option<CopyPart> {
+        let copy_cache = &self.0.copy_cache;
+        match request {
+            CopyRequest::Configuration => {
                 let table = self.table()?;
-                let copy = CopyOf::Configuration(table.version());
-                let write = || postcard::to_stdvec(&*table).unwrap_or_default();
-                Some(handed_out.first_part(copy, write))
+                let copy = CopyId::Configuration(table.version());
+                let encode = || postcard::to_stdvec(&*table).unwrap_or_default();
+                Some(copy_cache.first_part(copy, encode))
             }
-            Wanted::Upstreams => {
-                let copy = CopyOf::Upstreams(self.horizon().upstreams()?);
+            CopyRequest::Upstreams => {
+                let copy = CopyId::Upstreams(self.positions().upstreams()?);
                 let registrations = self.0.registrations.borrow();
-                // Of what this daemon only keeps, the asker would never hear the end.
+                // Upstreams in their grace period are left out: no message would tell the
+                // receiver when the period ends.
                 let published: Vec<&Upstream> = registrations.published().collect();
-                let write = || postcard::to_stdvec(&published).unwrap_or_default();
-                Some(handed_out.first_part(copy, write))
+                let encode = || postcard::to_stdvec(&published).unwrap_or_default();
+                Some(copy_cache.first_part(copy, encode))
             }
-            Wanted::More { copy, from_byte } => handed_out.more(copy, from_byte),
+            CopyRequest::More { copy, from_byte } => copy_cache.part_at(copy, from_byte),
         }
     }
 
-    /// Takes over everything that was published at `position`; what is not among it is
-    /// missing.
-    pub(crate) fn take_all(
+    /// Replaces all values by those published at `position`; an upstream that is not among
+    /// them counts as missing.
+    pub(crate) fn apply_all(
         &self,
         position: Position,
         entries: impl IntoIterator<Item = Entry>,
@@ -311,62 +318,65 @@
                 }
                 Entry::Configuration(_) | Entry::Malformed { .. } | Entry::Other => {}
             }
-            self.take_entry(entry, provenance);
+            self.apply_entry(entry, provenance);
         }
         missing.retain(|id| !present.contains(id));
         for id in missing {
-            self.take_missing(id, Removal::observed_at(position), provenance);
+            self.apply_removal(id, Removal::observed_at(position), provenance);
         }
         self.0.registrations.borrow_mut().reloaded_at(position);
-        self.pass_on_upstreams();
+        self.sync_upstreams();
     }
 
-    /// Settings.
     pub(crate) fn options(&self) -> &PublishedOptions {
         &self.0.options
     }
 
-    pub(crate) fn take_entry(&self, entry: Entry, provenance: &Provenance) {
+    pub(crate) fn apply_entry(&self, entry: Entry, provenance: &Provenance) {
         match entry {
-            Entry::Configuration(table) => self.take_table(*table, provenance),
+            Entry::Configuration(table) => self.apply_configuration(*table, provenance),
             Entry::Upstream(upstream) => {
-                self.take_upstream(upstream, Duration::ZERO, provenance);
+                self.apply_registration(upstream, Duration::ZERO, provenance);
             }
             Entry::UnusableUpstream {
                 id,
                 position,
                 reason,
             } => {
-                self.take_unusable(&id, position, &reason, provenance);
+                self.apply_unusable(&id, position, &reason, provenance);
             }
             Entry::Malformed { name, reason } => trace::malformed(&name, &reason),
             Entry::Other => {}
         }
     }
 
-    /// Takes in a registration; whether anything that matters has changed.
-    fn take_upstream(&self, upstream: Upstream, delay: Duration, provenance: &Provenance) -> bool {
+    /// Applies a registration; returns whether a relevant property changed.
+    fn apply_registration(
+        &self,
+        upstream: Upstream,
+        delay: Duration,
+        provenance: &Provenance,
+    ) -> bool {
         let mut registrations = self.0.registrations.borrow_mut();
         match registrations.register(upstream.clone(), delay) {
             RegisterOutcome::Changed => {
                 trace::upstream_published(&upstream, delay, provenance);
                 if upstream.leaving {
-                    self.note_departure(delay);
+                    self.record_departure_delay(delay);
                 }
                 true
             }
             RegisterOutcome::Unchanged | RegisterOutcome::Outdated => false,
             RegisterOutcome::EarlierIncarnation => {
-                trace::earlier_life(&upstream);
+                trace::earlier_incarnation(&upstream);
                 false
             }
         }
     }
 
-    /// A registration that can't be used names no upstream, also where one that
-    /// could be used stood before: it may be of another upstream by now. Requests
-    /// that run there go on.
-    fn take_unusable(
+    /// Stops using an upstream whose registration became unusable: it may describe another
+    /// upstream by now. Requests that already run there continue.
+    fn apply_unusable(
         &self,
         id: &UpstreamId,
         position: Position,
@@ -380,7 +390,7 @@
         }
     }
 
-    pub(crate) fn take_table(&self, table: RouteTable, provenance: &Provenance) {
+    pub(crate) fn apply_configuration(&self, table: RouteTable, provenance: &Provenance) {
         let mut in_force = self.0.table.borrow_mut();
         let before = in_force.as_ref().map(|table| table.version());
         if before.is_some_and(|before| table.version() <= before) {
@@ -389,30 +399,30 @@
         trace::configuration_accepted(&table, before, provenance);
         *in_force = Some(Rc::new(table));
         drop(in_force);
-        self.pass_on_upstreams();
+        self.sync_upstreams();
     }
 
-    /// Removes an upstream, at once or after the time in which it may come back; whether
-    /// it is used no more.
-    pub(crate) fn take_missing(
+    /// Removes an upstream, immediately or after its grace period; returns whether it is
+    /// out of use now.
+    pub(crate) fn apply_removal(
         &self,
         id: UpstreamId,
         removal: Removal,
         provenance: &Provenance,
     ) -> bool {
         let now = Instant::now();
-        let contact = self.0.contact.get();
-        let keep_until = contact.keep_until(now, self.0.options.lapse_grace);
+        let availability = self.0.availability.get();
+        let grace_until = availability.grace_until(now, self.0.options.lapse_grace);
         let mut registrations = self.0.registrations.borrow_mut();
-        match registrations.mark_missing(&id, removal, keep_until) {
+        match registrations.mark_missing(&id, removal, grace_until) {
             RemovalOutcome::Unchanged => false,
             RemovalOutcome::Removed => {
                 trace::upstream_gone(&id, removal.delay, provenance);
-                self.note_departure(removal.delay);
+                self.record_departure_delay(removal.delay);
                 true
             }
             RemovalOutcome::InGrace(until) => {
-                trace::removal_put_off(&id, until.duration_since(now), provenance);
+                trace::removal_deferred(&id, until.duration_since(now), provenance);
                 spawn(self.clone().end_grace(id, until, provenance.clone())).detach();
                 false
             }
@@ -426,31 +436,32 @@
         if registrations.end_grace(&id, Instant::now()) {
             drop(registrations);
             trace::upstream_gone(&id, Duration::ZERO, &provenance);
-            self.pass_on_upstreams();
+            self.sync_upstreams();
         }
     }
 
-    pub(crate) fn pass_on_upstreams(&self) {
-        let figures: HashMap<ServiceName, Rc<EngineFigures>> = match self.table() {
+    /// Passes the upstreams in use to the selection of upstreams, if their service is in force.
+    pub(crate) fn sync_upstreams(&self) {
+        let profiles: HashMap<ServiceName, Rc<EngineFigures>> = match self.table() {
             Some(table) => table
                 .services()
                 .filter_map(|service| {
-                    let figures = service.engine.clone()?;
-                    Some((service.name.clone(), Rc::new(figures)))
+                    let profile = service.engine.clone()?;
+                    Some((service.name.clone(), Rc::new(profile)))
                 })
                 .collect(),
             None => HashMap::new(),
         };
         let registrations = self.0.registrations.borrow();
-        // One of a service that is not in force must not displace, by its address,
-        // one that is.
+        // An upstream of a service that is not in force must not replace one in force that
+        // has the same address.
         let is_in_force = |upstream: &&Upstream| {
             let table = self.0.table.borrow();
             let table = table.as_ref();
             table.is_none_or(|table| table.service(&upstream.service).is_some())
         };
         let usable = registrations.in_use().filter(is_in_force).cloned();
-        for restarted in self.0.upstreams.set_known(usable, &figures) {
+        for restarted in self.0.upstreams.set_known(usable, &profiles) {
             trace::upstream_restarted(&restarted);
             let address = restarted.address;
             self.0.connections.retain(|other| *other != address);
--- a/crates/gateway/src/published_options.rs
+++ b/crates/gateway/src/published_options.rs
@@ -1,76 +1,81 @@
-//! Times by which a daemon keeps up with what is published.
+//! Periods and timeouts with which a daemon follows the published values.
 //!
-//! What a daemon holds for current may be older than it knows: a neighbour's word has an
-//! age, the next question comes after a while, and both it and a call of one's own take
-//! time. These parts follow each other, so they are made from the bound on their sum, the
-//! time within which a change has to be acted on everywhere:
+//! The values that a daemon considers current may be outdated: the confirmation of another
+//! daemon has an age, the next query is sent only after a while, and a query as well as a
+//! call to the source takes time. These delays add up, so they are derived from the bound
+//! on their sum, which is the time within which a change has to take effect everywhere:
 //!
 //! ```text
-//! change .. teller too old .. asked .. no answer .. others asked .. own call .. request sent
-//!         confirmation_age_limit  query_period  ASK_TIMEOUT   ASK_TIMEOUT    CALL_TIME  SEND_TIME
+//! confirmation_age_limit  until the confirmation of another daemon is too old
+//! query_period            until the next query
+//! QUERY_TIMEOUT           without a reply of the watchers
+//! QUERY_TIMEOUT           without a reply of other daemons
+//! SOURCE_CALL_TIME        for a call to the source
+//! SEND_TIME               until a request has reached its upstream
 //! ```
 //!
-//! The sum is what is expected. What is acted on is measured: a request is sent by what was
-//! confirmed within [`unconfirmed_limit`](PublishedOptions::unconfirmed_limit), or after
-//! others were asked.
+//! The sum is an expected value. At run time the actual age is checked: a request is sent
+//! only if the values were confirmed within
+//! [`unconfirmed_limit`](PublishedOptions::unconfirmed_limit), or after other daemons were
+//! queried.
 
 use std::time::Duration;
 
-/// Time for another daemon to answer a datagram.
-pub(crate) const ASK_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time for another daemon to reply to a query.
+pub(crate) const QUERY_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time after a question in which it is not asked again for the sake of a request.
-pub(crate) const ASK_AGAIN_AFTER: Duration = Duration::from_millis(100);
+/// Time after a query during which a request does not trigger another one.
+pub(crate) const REQUERY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for the source to answer a call that has not to wait: many times the usual.
-const CALL_TIME: Duration = Duration::from_millis(100);
+/// Time for the source to answer a call that waits for no change: many times the usual one.
+const SOURCE_CALL_TIME: Duration = Duration::from_millis(100);
 
-/// Time from the choice of an upstream until a request has reached it.
+/// Time from the selection of an upstream until a request has reached it.
 const SEND_TIME: Duration = Duration::from_millis(150);
 
-/// Longest time for which an upstream is kept whose registration may have lapsed: live
-/// ones are back within two seconds of the source's return.
-const LONGEST_LAPSE_GRACE: Duration = Duration::from_millis(1_700);
+/// Longest grace period of an upstream whose registration may have lapsed: live upstreams
+/// register again within two seconds of the source's recovery.
+const MAX_LAPSE_GRACE: Duration = Duration::from_millis(1_700);
 
-/// Times of the reading of published values.
+/// Periods and timeouts for following the published values.
 #[derive(Debug, Clone)]
 pub struct PublishedOptions {
     /// Longest wait for a change in one call.
     ///
-    /// Each call costs the platform, and each answer renews the lease on the
-    /// keys: four calls fit into the lease, so that one may be lost.
+    /// Each call costs the platform, and each answer renews the lease on the keys: four
+    /// calls fit into the lease, so that one may be lost.
     pub watch_wait: Duration,
-    /// Time for an answer beyond that wait: many times the usual few
-    /// milliseconds, for a source that is slow but there.
+    /// Time for an answer in addition to that wait: many times the usual few milliseconds,
+    /// to allow for a source that is slow but available.
     pub answer_timeout: Duration,
-    /// Time between two questions to other daemons.
+    /// Time between two queries to other daemons.
     pub query_period: Duration,
-    /// Age up to which what another daemon knows confirms what is in force here; older, it
-    /// is out of touch itself.
+    /// Age up to which another daemon's confirmation is accepted; an older one shows that
+    /// the daemon is out of touch with the source itself.
     pub confirmation_age_limit: Duration,
-    /// Time for each part of a reading of everything.
+    /// Time for each part of a full read.
     pub read_timeout: Duration,
-    /// Pause after a failed call; doubled up to `longest_retry_pause`.
+    /// Pause after the first failed call; doubled up to `longest_retry_pause`.
     pub first_retry_pause: Duration,
-    /// Longest pause after a failed call; within the second or two in which a
-    /// source's return should be noticed.
+    /// Longest pause after a failed call; within the second or two in which a recovery of
+    /// the source should be noticed.
     pub longest_retry_pause: Duration,
-    /// Least time between two calls after changes, so that a burst of changes
-    /// is read at once; well below the seconds in which one must be in force.
+    /// Minimum time between two calls after changes, so that a burst of changes is read
+    /// with one call; well below the seconds in which a change must be in force.
     pub min_watch_interval: Duration,
-    /// Time after the source's return for which an upstream is kept whose
-    /// registration is missing.
+    /// Grace period, from the source's recovery, of an upstream whose registration is
+    /// missing.
     pub lapse_grace: Duration,
 }
 
 impl PublishedOptions {
-    /// Times that renew a lease of `key_lease` well before it ends, and have a change
-    /// acted on within `change_bound`,
-    /// [`LEAST_CHANGE_BOUND`](mangofront_settings::process::LEAST_CHANGE_BOUND) at least.
+    /// Options that renew a lease of `key_lease` well before it ends, and have a change
+    /// take effect within `change_bound`, which must be at least
+    /// [`LEAST_CHANGE_BOUND`](mangofront_settings::process::LEAST_CHANGE_BOUND).
     ///
-    /// What a daemon that watches tells may be as old as one wait and one late answer, and
-    /// the next question comes a period later: together half of the lease, so
-    /// that a single loss never makes a daemon refuse requests.
+    /// The confirmation of a watcher may be as old as one wait and one late answer, and the
+    /// next query comes a period later: together half of the lease, so that a single loss
+    /// never makes a daemon refuse requests.
     #[must_use]
     pub fn for_bounds(key_lease: Duration, change_bound: Duration) -> Self {
         let share = |of_lease: f64, of_bound: f64| {
@@ -86,20 +91,21 @@
             first_retry_pause: Duration::from_millis(80),
             longest_retry_pause: Duration::from_millis(600),
             min_watch_interval: Duration::from_millis(250),
-            lapse_grace: LONGEST_LAPSE_GRACE.min(change_bound.mul_f64(0.85)),
+            lapse_grace: MAX_LAPSE_GRACE.min(change_bound.mul_f64(0.85)),
         }
     }
 
-    /// Time without a confirmation after which others are asked before a request is sent.
+    /// Time without a confirmation after which other daemons are queried before a request
+    /// is sent.
     #[must_use]
     pub fn unconfirmed_limit(&self) -> Duration {
-        self.confirmation_age_limit + self.query_period + ASK_TIMEOUT * 2
+        self.confirmation_age_limit + self.query_period + QUERY_TIMEOUT * 2
     }
 
-    /// Longest time from a change until no request is sent any more by what was before
-    /// it, at a daemon that reaches the source while those that it asks do not.
+    /// Longest time from a change until no request is sent any more by the values before
+    /// it, at a daemon that reaches the source while the daemons that it queries do not.
     #[must_use]
     pub fn reaction_bound(&self) -> Duration {
-        self.unconfirmed_limit() + CALL_TIME + SEND_TIME
+        self.unconfirmed_limit() + SOURCE_CALL_TIME + SEND_TIME
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,10 +1,10 @@
-//! Requests that crash the upstreams that run them.
+//! Quarantine of requests that crash the upstreams running them.
 //!
-//! When the connection of a request breaks while an upstream works on it, the upstream may
-//! have crashed, or only the connection is gone. Which of them it was shows at once by
-//! whether it still takes connections: the registrations tell of its end seconds later.
-//! What is found is kept with the upstreams, which tells all daemons
-//! ([`mangofront_engines::Standing`]); here it decides whether a request may be sent.
+//! When the connection of a request breaks while an upstream works on it, either the
+//! upstream has crashed or only the connection is lost. A new connection to the upstream
+//! tells the two apart immediately, while the registrations show a crash only seconds
+//! later. Crashes are recorded with the upstreams and broadcast to all daemons
+//! ([`mangofront_engines::Standing`]); this module decides whether a request may be sent.
 
 use std::time::{Duration, Instant};
 
@@ -18,32 +18,32 @@
 use crate::call::Call;
 use crate::fingerprint::Fingerprint;
 use crate::gateway::Gateway;
-use crate::history::{Failed, History};
+use crate::history::{AttemptError, History};
 use crate::trace;
 
-/// Time for an upstream to take a connection: one that takes none in this is down, or out
-/// of reach.
+/// Time for an upstream to accept a connection: one that accepts none in this time is down
+/// or unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time after which a new connection shows whether its upstream is on the way down: one
-/// that ends may still take it and break it at once.
+/// Time after which a new connection shows whether its upstream is exiting: it may still
+/// accept a connection and close it immediately.
 const SETTLING_TIME: Duration = Duration::from_millis(50);
 
-/// Connections that are tried: an upstream that has too many may close one and take the
+/// Connections that are tried: an upstream that has too many may close one and accept the
 /// next.
-const LOOKS: usize = 2;
+const MAX_PROBES: usize = 2;
 
-/// When a caller may come back with a request that another daemon may try by now.
+/// Retry-After of a request that another daemon may try by now.
 const RETRY_AFTER_TRIAL: Duration = Duration::from_secs(20);
 
-/// A request that is kept from all upstreams, for operators.
+/// A quarantined request, as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct QuarantinedRequest {
-    /// Its fingerprint, as in the daemons' lines.
+    /// Fingerprint of the request, as in the log lines.
     pub fingerprint: String,
     /// Upstreams that crashed under it.
     pub crashes: usize,
-    /// Time until it may be tried again, in milliseconds; 0 once it may.
+    /// Time until it may be tried again, in milliseconds; 0 if it may be now.
     pub left_ms: u64,
 }
 
@@ -61,29 +61,33 @@
     }
 }
 
-/// Whether a request may be sent to an upstream now.
-pub(crate) fn admit(gateway: &Gateway, call: &Call, history: &mut History) -> Result<(), Failed> {
+/// Checks that a request is not quarantined, or starts its trial.
+pub(crate) fn check_quarantine(
+    gateway: &Gateway,
+    call: &Call,
+    history: &mut History,
+) -> Result<(), AttemptError> {
     let name = call.fingerprint.name();
     let upstreams = &gateway.parts().upstreams;
     match upstreams.standing(name) {
         _ if history.is_trial => Ok(()),
         Standing::Open { .. } => Ok(()),
-        Standing::Quarantined { left } => Err(Failed::Quarantined { retry_after: left }),
-        Standing::OnTrial if is_chosen(gateway, name) => {
+        Standing::Quarantined { left } => Err(AttemptError::Quarantined { retry_after: left }),
+        Standing::OnTrial if is_trial_daemon(gateway, name) => {
             upstreams.begin_trial(name);
             history.is_trial = true;
-            trace::tried_again(call);
+            trace::trial_started(call);
             Ok(())
         }
-        Standing::OnTrial => Err(Failed::Quarantined {
+        Standing::OnTrial => Err(AttemptError::Quarantined {
             retry_after: RETRY_AFTER_TRIAL,
         }),
     }
 }
 
-/// Whether this daemon is the one of all that tries a request again: the first by
-/// rendezvous hashing among those that answer.
-fn is_chosen(gateway: &Gateway, request: RequestName) -> bool {
+/// Whether this daemon is the one that tries a request again after its quarantine: the
+/// first by rendezvous hashing among the live members.
+fn is_trial_daemon(gateway: &Gateway, request: RequestName) -> bool {
     let rank = |instance: &str| xxh3_64_with_seed(instance.as_bytes(), request as u64);
     let own = rank(&gateway.options().instance);
     let members = gateway.parts().peers.members();
@@ -91,13 +95,14 @@
     others.all(|member| rank(&member.instance) <= own)
 }
 
-/// Notes that the connection of a request broke at an upstream that may have run it.
+/// Handles the loss of a connection to an upstream that may have run the request.
 ///
-/// A request under which no upstream crashed so far goes on elsewhere meanwhile; any other
-/// waits for what is found, so that no further upstream crashes before that is known.
-pub(crate) async fn note_break(gateway: &Gateway, call: &Call, upstream: &Upstream) {
+/// A request without earlier crashes goes on elsewhere while the upstream is checked; any
+/// other request waits for the result, so that no further upstream crashes before it is
+/// known.
+pub(crate) async fn record_lost_connection(gateway: &Gateway, call: &Call, upstream: &Upstream) {
     let standing = gateway.parts().upstreams.standing(call.fingerprint.name());
-    let check = check(
+    let check = check_for_crash(
         gateway.clone(),
         call.id.clone(),
         call.fingerprint,
@@ -109,63 +114,68 @@
     }
 }
 
-/// Notes that a request was answered whole, so that it is not at fault for crashes.
-pub(crate) fn note_answered(gateway: &Gateway, call: &Call) {
+/// Clears a request of crashes, since it was answered completely.
+pub(crate) fn record_success(gateway: &Gateway, call: &Call) {
     if gateway.parts().upstreams.clear(call.fingerprint.name()) {
-        trace::cleared(call.fingerprint, "answered");
+        trace::request_cleared(call.fingerprint, "answered");
     }
 }
 
-/// Finds out whether an upstream has crashed, and notes it.
-async fn check(gateway: Gateway, request: String, fingerprint: Fingerprint, upstream: Upstream) {
+/// Checks whether an upstream has crashed, and records it.
+async fn check_for_crash(
+    gateway: Gateway,
+    request: String,
+    fingerprint: Fingerprint,
+    upstream: Upstream,
+) {
     let key = key_of(&upstream);
     let upstreams = &gateway.parts().upstreams;
-    // What leaves ends as planned, with its connections.
+    // An upstream that is draining closes its connections as planned.
     if upstreams.is_leaving(key) {
         return;
     }
-    let Some(evidence) = evidence(&gateway, &upstream).await else {
+    let Some(evidence) = crash_evidence(&gateway, &upstream).await else {
         return;
     };
     let crashes = upstreams.crashed_under(fingerprint.name(), key);
     gateway.parts().metrics.upstream_crashed();
-    trace::crashed_under(&request, fingerprint, &upstream, crashes, evidence);
+    trace::upstream_crashed_under(&request, fingerprint, &upstream, crashes, evidence);
 }
 
-/// What shows that an upstream has ended; none if it lives, or can't be asked.
-async fn evidence(gateway: &Gateway, upstream: &Upstream) -> Option<&'static str> {
+/// Evidence that an upstream has exited; `None` if it is alive or can't be probed.
+async fn crash_evidence(gateway: &Gateway, upstream: &Upstream) -> Option<&'static str> {
     let upstreams = &gateway.parts().upstreams;
     if upstreams.has_started_again(upstream) {
         return Some("has started again");
     }
-    // One that left before is gone by its own will.
+    // An upstream that was removed before has left as planned.
     if !upstreams.is_known(key_of(upstream)) {
         return None;
     }
-    for _ in 0..LOOKS {
-        match look(gateway, upstream).await {
-            Look::Serves | Look::Unknown => return None,
-            Look::Down(evidence) => return Some(evidence),
-            Look::Closes => {}
+    for _ in 0..MAX_PROBES {
+        match probe(gateway, upstream).await {
+            ProbeResult::StaysOpen | ProbeResult::Unknown => return None,
+            ProbeResult::Down(evidence) => return Some(evidence),
+            ProbeResult::Closed => {}
         }
     }
-    // What takes them may stand before an upstream that has ended.
+    // A proxy may accept connections in front of an upstream that has exited.
     Some("closes new connections")
 }
 
-/// What a new connection to an upstream shows.
-enum Look {
-    /// It stays open.
-    Serves,
-    /// It was closed again.
-    Closes,
-    /// There is none.
+/// Result of opening a connection to an upstream.
+enum ProbeResult {
+    /// The connection stays open.
+    StaysOpen,
+    /// The connection was closed again.
+    Closed,
+    /// No connection could be opened.
     Down(&'static str),
-    /// Its zone can't be reached.
+    /// The upstream's zone is unreachable.
     Unknown,
 }
 
-async fn look(gateway: &Gateway, upstream: &Upstream) -> Look {
+async fn probe(gateway: &Gateway, upstream: &Upstream) -> ProbeResult {
     let target = Target {
         instance: upstream.id.clone(),
         address: upstream.address,
@@ -175,17 +185,17 @@
         Ok(opened) => {
             compio::time::sleep(SETTLING_TIME).await;
             match opened.keep() {
-                true => Look::Serves,
-                false => Look::Closes,
+                true => ProbeResult::StaysOpen,
+                false => ProbeResult::Closed,
             }
         }
         Err(SendError::Timeout { .. }) => {
             let silent = gateway.parts().upstreams.silent_zones();
             match silent.contains(&upstream.availability_zone) {
-                true => Look::Unknown,
-                false => Look::Down("takes no connection in time"),
+                true => ProbeResult::Unknown,
+                false => ProbeResult::Down("takes no connection in time"),
             }
         }
-        Err(_) => Look::Down("refuses connections"),
+        Err(_) => ProbeResult::Down("refuses connections"),
     }
 }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,8 +1,8 @@
-//! Answers that the gateway gives itself.
+//! Answers that the gateway produces itself.
 //!
-//! A caller may take a refusal with 429 or 503 as a promise that its request
-//! has not run and never will. [`Refusal`] keeps the two apart: what may have
-//! run is answered with 502 or 504.
+//! A refusal with status 429 or 503 guarantees the caller that its request has not run and
+//! never will. [`Refusal`] maintains this distinction: a request that may have run is
+//! answered with 502 or 504.
 
 use std::time::Duration;
 
@@ -12,32 +12,32 @@
 
 use crate::history::CRASHES_UPSTREAMS;
 
-/// Why a request got no answer of an upstream.
+/// Why a request did not get an upstream's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// The head can't be served.
+    /// The head of the request is malformed.
     BadHead(String),
-    /// No known key.
+    /// The key is missing or unknown.
     UnknownKey,
-    /// No route.
+    /// No route matches.
     NoRoute,
-    /// The body is over the limit.
+    /// The body exceeds the limit.
     BodyTooLarge,
-    /// The body did not arrive whole.
+    /// The body did not arrive completely.
     BodyBroken,
     /// The request has not run and will not.
     NotRun {
-        /// Why.
+        /// Code of the reason.
         reason: &'static str,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// It may have run, and no answer came.
+    /// The request may have run, and no answer arrived.
     Unknown {
-        /// Why.
+        /// Description of the failure.
         reason: String,
     },
-    /// It may have run, and time is up.
+    /// The request may have run, and its deadline passed.
     TimedOut,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Why, for logs and the caller.
+    /// The reason, for logs and the caller.
     pub(crate) fn reason(&self) -> &str {
         match self {
             Self::BadHead(reason) | Self::Unknown { reason } => reason,
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Why, in the caller's body: the reason, and what it can't tell by itself.
+    /// The message in the caller's body: the reason, with an explanation where the code
+    /// alone does not say enough.
     fn message(&self) -> String {
         match self.reason() {
             CRASHES_UPSTREAMS => format!(
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Stable code, for metrics.
+    /// Code in metrics; it must not change.
     pub(crate) fn code(&self) -> &'static str {
         match self {
             Self::BadHead(_) => "bad_head",
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The outcome as the metrics name it.
+    /// The outcome in metrics.
     pub(crate) fn request_outcome(&self) -> RequestOutcome {
         match self.outcome() {
             Outcome::NotRun => RequestOutcome::NotRun,
--- a/crates/gateway/src/registrations.rs
+++ b/crates/gateway/src/registrations.rs
@@ -1,15 +1,16 @@
-//! The registrations of upstreams, and which upstreams are used by them.
+//! The registrations of upstreams, and which upstreams are in use because of them.
 //!
-//! The source numbers its changes, so of two statements on one upstream the one with the
-//! higher number holds, whoever tells it and in whatever order they come. Statements may be
-//! lost, repeated and mixed: all daemons that have heard of the same last changes hold the
-//! same. A removal is kept as a statement too, or an older one could undo it.
+//! The source numbers its changes. Of two statements about one upstream the one with the
+//! higher position wins, whichever daemon sent it and in whatever order they arrive.
+//! Statements may be lost, repeated or reordered: daemons that know the same last changes
+//! hold the same state. Removals are kept as records as well, since an older registration
+//! could otherwise undo one.
 //!
-//! A registration may be missing because its upstream has left, or only because it
-//! lapsed while the source was out of reach. So an upstream may be used for a moment
-//! longer than it is registered. That is a guess of this daemon and is kept apart from
-//! what is published: other daemons are handed what is published only, as nothing would
-//! ever tell them that a guess has ended.
+//! A registration may be missing because its upstream has left, or because it lapsed while
+//! the source was unreachable. An upstream whose registration may have lapsed therefore
+//! stays in use for a grace period. That is a guess of this daemon and is kept apart from
+//! the published state: other daemons receive published registrations only, since no
+//! message would tell them that the guess has ended.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -18,86 +19,89 @@
 
 use crate::dialect::Position;
 
-/// Removals that are remembered; the oldest half goes first.
+/// Removals that are remembered; above this limit the older half is dropped.
 ///
-/// Upstreams of a fleet of the target size that leave within minutes.
+/// It covers the upstreams that leave a fleet of the target size within minutes.
 const REMOVALS_LIMIT: usize = 4_096;
 
-/// What a registration changed.
+/// Effect of applying a registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegisterOutcome {
-    /// The upstream is new, or something of it that matters is.
+    /// The upstream is new, or a relevant property of it changed.
     Changed,
-    /// Nothing that matters.
+    /// No relevant property changed.
     Unchanged,
-    /// Nothing: a later change of it is known.
+    /// Ignored: a later change of the upstream is known.
     Outdated,
-    /// Nothing: it was written by an earlier life than the one that is known.
+    /// Ignored: an earlier incarnation of the upstream wrote it.
     EarlierIncarnation,
 }
 
-/// What a missing registration led to.
+/// Effect of a missing registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RemovalOutcome {
-    /// The upstream was not known, is kept already, or a later change of it is known.
+    /// The upstream was unknown or already in its grace period, or a later change is known.
     Unchanged,
-    /// The upstream is used no more.
+    /// The upstream is no longer in use.
     Removed,
-    /// The upstream is used on until then.
+    /// The upstream stays in use until this moment.
     InGrace(Instant),
 }
 
-/// Registrations as far as they are known.
+/// The registrations that this daemon knows.
 #[derive(Debug, Default)]
 pub struct Registrations {
     records: HashMap<UpstreamId, Record>,
-    /// Upstreams that are no longer published and used nevertheless.
-    kept: HashMap<UpstreamId, Kept>,
+    /// Upstreams that are no longer published but still in use.
+    in_grace: HashMap<UpstreamId, GracePeriod>,
     removals: usize,
-    /// Removals up to this position may be unknown here, or forgotten.
+    /// Removals up to this position may be missing from `records`.
     removals_known_after: Position,
-    /// Position of the last change of all.
+    /// Highest position of any change.
     last_change: Position,
 }
 
-/// The last change of an upstream that is known.
+/// The last known change of an upstream.
 #[derive(Debug, Clone)]
 pub struct Record {
     /// Position of the change.
     pub position: Position,
-    /// What has been published since.
+    /// State of the registration since then.
     pub state: RegistrationState,
-    /// When this daemon learned of it.
+    /// When this daemon learned of the change.
     pub learned_at: Instant,
-    /// Time for which others had known it by then, as far as they told.
+    /// Propagation delay: how long other daemons had known the change at that moment, as
+    /// far as they reported it.
     pub delay: Duration,
 }
 
-/// What is published of an upstream.
+/// What the source publishes about an upstream.
 #[derive(Debug, Clone)]
 pub enum RegistrationState {
-    /// This registration.
+    /// The upstream is registered.
     Registered(Upstream),
-    /// Nothing.
+    /// The upstream is not registered.
     Removed {
-        /// Whether the upstream is known to have said before that it leaves.
+        /// Whether the upstream is known to have announced its shutdown.
         is_announced: bool,
     },
 }
 
-/// The end of a registration.
+/// Removal of a registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Removal {
-    /// Position from which on nothing is published of the upstream.
+    /// Position from which the upstream is no longer published.
     pub position: Position,
-    /// Whether the upstream is known to have said before that it leaves.
+    /// Whether the upstream is known to have announced its shutdown.
     pub is_announced: bool,
-    /// Time for which others have known it, as far as they told.
+    /// Propagation delay: how long other daemons have known the removal, as far as they
+    /// reported it.
     pub delay: Duration,
 }
 
 impl Removal {
-    /// A removal that this daemon sees itself, of an upstream that it may know to leave.
+    /// A removal that this daemon observed at the source itself. Whether the upstream had
+    /// announced its shutdown is taken from its record.
     #[must_use]
     pub fn observed_at(position: Position) -> Self {
         Self {
@@ -109,13 +113,13 @@
 }
 
 #[derive(Debug)]
-struct Kept {
+struct GracePeriod {
     upstream: Upstream,
     until: Instant,
 }
 
 impl Record {
-    /// Time since somebody learned of it.
+    /// Time since the first daemon learned of the change.
     #[must_use]
     pub fn known_for(&self) -> Duration {
         self.delay + self.learned_at.elapsed()
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Whether the upstream is known to have said that it leaves.
+    /// Whether the upstream is known to have announced its shutdown.
     #[must_use]
     pub fn is_announced(&self) -> bool {
         match self {
@@ -141,7 +145,7 @@
 }
 
 impl Registrations {
-    /// Takes in a registration, which others have known for `delay`.
+    /// Applies a registration that other daemons have known for `delay`.
     pub fn register(&mut self, upstream: Upstream, delay: Duration) -> RegisterOutcome {
         let id = upstream.id.clone();
         let record = self.records.get(&id);
@@ -153,68 +157,68 @@
         if published.is_some_and(|published| published.registered_at == position) {
             return RegisterOutcome::Unchanged;
         }
-        let before = published.or_else(|| self.kept.get(&id).map(|kept| &kept.upstream));
+        let before = published.or_else(|| self.in_grace.get(&id).map(|grace| &grace.upstream));
         if before.is_some_and(|before| before.started_at_ms > upstream.started_at_ms) {
             return RegisterOutcome::EarlierIncarnation;
         }
         let is_unchanged = before.is_some_and(|before| before.says_the_same(&upstream));
-        self.kept.remove(&id);
-        self.note(id, position, RegistrationState::Registered(upstream), delay);
+        self.in_grace.remove(&id);
+        self.insert(id, position, RegistrationState::Registered(upstream), delay);
         match is_unchanged {
             true => RegisterOutcome::Unchanged,
             false => RegisterOutcome::Changed,
         }
     }
 
-    /// Notes that nothing is published of an upstream any more; it is kept until
-    /// `keep_until`, if that is given and it had not said that it leaves.
+    /// Records that an upstream is no longer published. It stays in use until
+    /// `grace_until`, if that is given and the upstream had not announced its shutdown.
     pub fn mark_missing(
         &mut self,
         id: &UpstreamId,
         removal: Removal,
-        keep_until: Option<Instant>,
+        grace_until: Option<Instant>,
     ) -> RemovalOutcome {
-        let Some(before) = self.replace(id, removal) else {
+        let Some(before) = self.replace_registration(id, removal) else {
             return self.end_announced(id, removal);
         };
-        match keep_until {
+        match grace_until {
             Some(until) if !before.leaving && !removal.is_announced => {
-                let kept = Kept {
+                let grace = GracePeriod {
                     upstream: before,
                     until,
                 };
-                self.kept.insert(id.clone(), kept);
+                self.in_grace.insert(id.clone(), grace);
                 RemovalOutcome::InGrace(until)
             }
             _ => RemovalOutcome::Removed,
         }
     }
 
-    /// Ends the use of an upstream that was kept, as it had said that it leaves.
+    /// Ends the grace period of an upstream that turns out to have announced its shutdown.
     fn end_announced(&mut self, id: &UpstreamId, removal: Removal) -> RemovalOutcome {
         let is_last = |record: &Record| record.position <= removal.position;
         let ends = removal.is_announced && self.records.get(id).is_some_and(is_last);
-        match ends && self.kept.remove(id).is_some() {
+        match ends && self.in_grace.remove(id).is_some() {
             true => RemovalOutcome::Removed,
             false => RemovalOutcome::Unchanged,
         }
     }
 
-    /// Uses an upstream no more, at once; whether it was used.
+    /// Stops using an upstream immediately; returns whether it was in use.
     pub fn remove(&mut self, id: &UpstreamId, removal: Removal) -> bool {
         let is_outdated = |record: &Record| record.position > removal.position;
         if self.records.get(id).is_some_and(is_outdated) {
             return false;
         }
-        let was_kept = self.kept.remove(id).is_some();
-        let was_published = self.replace(id, removal).is_some();
-        was_kept || was_published
+        let was_in_grace = self.in_grace.remove(id).is_some();
+        let was_published = self.replace_registration(id, removal).is_some();
+        was_in_grace || was_published
     }
 
-    /// Notes a removal; the registration that stood before, if it was published.
-    fn replace(&mut self, id: &UpstreamId, removal: Removal) -> Option<Upstream> {
+    /// Records a removal; returns the registration that it replaces, if one was published.
+    fn replace_registration(&mut self, id: &UpstreamId, removal: Removal) -> Option<Upstream> {
         let Some(record) = self.records.get_mut(id) else {
-            self.note_removal(id, removal);
+            self.insert_removal(id, removal);
             return None;
         };
         if record.position > removal.position {
@@ -222,7 +226,7 @@
         }
         let was_announced = match &record.state {
             RegistrationState::Registered(before) => before.leaving,
-            // A later removal is one of a later life.
+            // A removal at a higher position belongs to a later incarnation.
             RegistrationState::Removed { is_announced } => {
                 *is_announced && record.position == removal.position
             }
@@ -238,18 +242,18 @@
             is_announced,
             ..removal
         };
-        self.note_removal(id, removal);
+        self.insert_removal(id, removal);
         Some(before)
     }
 
-    fn note_removal(&mut self, id: &UpstreamId, removal: Removal) {
+    fn insert_removal(&mut self, id: &UpstreamId, removal: Removal) {
         let is_announced = removal.is_announced;
         let state = RegistrationState::Removed { is_announced };
-        self.note(id.clone(), removal.position, state, removal.delay);
+        self.insert(id.clone(), removal.position, state, removal.delay);
         self.forget_removals();
     }
 
-    fn note(
+    fn insert(
         &mut self,
         id: UpstreamId,
         position: Position,
@@ -270,7 +274,7 @@
         self.last_change = self.last_change.max(position);
     }
 
-    /// Forgets the older half of the removals, when there are too many.
+    /// Drops the older half of the removals when there are too many.
     fn forget_removals(&mut self) {
         if self.removals <= REMOVALS_LIMIT {
             return;
@@ -289,38 +293,42 @@
         self.removals_known_after = self.removals_known_after.max(last);
     }
 
-    /// Notes that all was taken over as of `position`, so that removals before it may have
-    /// been missed.
+    /// Records that all registrations were replaced by those of `position`, so that earlier
+    /// removals may have been missed.
     pub fn reloaded_at(&mut self, position: Position) {
         self.removals_known_after = self.removals_known_after.max(position);
     }
 
-    /// Ends the use of an upstream that was kept until `now` or earlier; whether it was.
+    /// Stops using an upstream whose grace period has ended at `now`; returns whether it
+    /// did.
     pub fn end_grace(&mut self, id: &UpstreamId, now: Instant) -> bool {
-        let is_over = self.kept.get(id).is_some_and(|kept| kept.until <= now);
-        is_over && self.kept.remove(id).is_some()
+        let is_over = self
+            .in_grace
+            .get(id)
+            .is_some_and(|grace| grace.until <= now);
+        is_over && self.in_grace.remove(id).is_some()
     }
 
-    /// Ends the use of all upstreams that are kept; their ids.
+    /// Ends all grace periods; returns the ids of the upstreams.
     pub fn end_all_grace(&mut self) -> Vec<UpstreamId> {
-        self.kept.drain().map(|(id, _)| id).collect()
+        self.in_grace.drain().map(|(id, _)| id).collect()
     }
 
-    /// The last change of an upstream that is known.
+    /// The last known change of an upstream.
     #[must_use]
     pub fn record(&self, id: &UpstreamId) -> Option<&Record> {
         self.records.get(id)
     }
 
-    /// Whether a registration that somebody tells of may have been removed since, as all that
-    /// stood later than it is known, but not it.
+    /// Whether a registration that another daemon sent may have been removed since: this
+    /// daemon does not know the upstream, but knows everything published at that position.
     #[must_use]
     pub fn may_be_removed(&self, upstream: &Upstream) -> bool {
         let is_unknown = !self.records.contains_key(&upstream.id);
         is_unknown && upstream.registered_at <= self.removals_known_after
     }
 
-    /// All last changes after `position`; none if some of them may be forgotten.
+    /// All last changes after `position`; `None` if some of them may have been dropped.
     pub fn changes_after(
         &self,
         position: Position,
@@ -333,15 +341,15 @@
         Some(records.filter(move |(_, record)| record.position > position))
     }
 
-    /// The registrations that are published, to be handed to others.
+    /// The published registrations, which other daemons may receive.
     pub fn published(&self) -> impl Iterator<Item = &Upstream> {
         let records = self.records.values();
         records.filter_map(|record| record.state.upstream())
     }
 
-    /// The upstreams that are used.
+    /// The upstreams in use: the published ones and those in their grace period.
     pub fn in_use(&self) -> impl Iterator<Item = &Upstream> {
-        let kept = self.kept.values().map(|kept| &kept.upstream);
-        self.published().chain(kept)
+        let in_grace = self.in_grace.values().map(|grace| &grace.upstream);
+        self.published().chain(in_grace)
     }
 }
