--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,11 +1,10 @@
-//! A stream of events on its way to its caller.
+//! Relays a stream of events to its caller.
 //!
-//! Only whole events are passed on. When the upstream breaks off, or says
-//! nothing for much longer than its pauses, another one goes on after the last
-//! event, if the route allows it; the caller sees one answer. Where that is not
-//! possible the caller's connection is broken off, so that it can tell that the
-//! answer is not whole. Dropping the relay, as happens when the caller leaves,
-//! drops the connection to the upstream with it.
+//! Only complete events are forwarded. If the upstream breaks off, or is silent for much
+//! longer than its usual pauses, another upstream resumes after the last event if the route
+//! allows it; the caller sees a single answer. Otherwise the caller's connection is
+//! aborted, so that the caller can tell that the answer is incomplete. Dropping the relay,
+//! as happens when the caller disconnects, also drops the connection to the upstream.
 
 use std::pin::{Pin, pin};
 use std::rc::Rc;
@@ -21,93 +20,96 @@
 use mangofront_telemetry::metrics::RequestOutcome;
 use mangofront_upstream::SendError;
 
-use crate::answer::ended;
-use crate::attempts::{Answering, BROKEN_OFF, attempt, note_failed, restarted, until_restart};
+use crate::answer::request_summary;
+use crate::attempts::{
+    AttemptAnswer, OUTCOME_BROKEN_OFF, attempt, record_failed_attempt, until_restart,
+    upstream_restarted,
+};
 use crate::call::Call;
 use crate::events::EventFramer;
 use crate::gateway::Gateway;
-use crate::history::{Failed, History};
-use crate::quarantine::note_answered;
+use crate::history::{AttemptError, History};
+use crate::quarantine::record_success;
 use crate::reservations::Reservations;
-use crate::trace::Ended;
+use crate::trace::RequestSummary;
 
-/// Silence, in usual pauses, after which an upstream is given up.
-const SILENT_PAUSES: u32 = 4;
+/// Multiple of the usual gap between events after which a silent upstream is given up.
+const SILENCE_TIMEOUT_GAPS: u32 = 4;
 
-/// Least silence after which an upstream is given up: the time in which engines
-/// notice that one that holds a part of the prompt is gone.
-const LEAST_SILENCE: Duration = Duration::from_millis(1_300);
+/// Minimum silence before an upstream is given up: the time in which engines detect that a
+/// helper, which holds a part of the prompt, is gone.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_300);
 
 type Chunks = Pin<Box<dyn Stream<Item = Result<Bytes, SendError>>>>;
 
-/// A chunk, the end of the stream, or the end of the time for it.
+/// A chunk, the end of the stream, or the expired deadline.
 type NextChunk = Result<Option<Result<Bytes, SendError>>, Elapsed>;
 
-/// An upstream's stream.
-struct Running {
+/// The stream of one upstream.
+struct UpstreamStream {
     chunks: Chunks,
     placed: Placed,
     upstream: Upstream,
-    /// Held until the stream ends.
+    /// Released when the stream ends.
     _reservations: Reservations,
 }
 
-impl Running {
-    fn new(answering: Answering) -> Self {
+impl UpstreamStream {
+    fn new(attempt_answer: AttemptAnswer) -> Self {
         Self {
-            chunks: Box::pin(answering.answer.chunks()),
-            placed: answering.placed,
-            upstream: answering.upstream,
-            _reservations: answering.reservations,
+            chunks: Box::pin(attempt_answer.answer.chunks()),
+            placed: attempt_answer.placed,
+            upstream: attempt_answer.upstream,
+            _reservations: attempt_answer.reservations,
         }
     }
 
-    /// The next chunk, until `deadline` at the latest.
-    async fn next(&mut self, deadline: Instant) -> Result<NextChunk, Failed> {
+    /// The next chunk; waits until `deadline` at most.
+    async fn next(&mut self, deadline: Instant) -> Result<NextChunk, AttemptError> {
         let chunk = pin!(compio::time::timeout_at(deadline, self.chunks.next()));
         let next = until_restart(&mut self.placed, chunk).await;
-        next.ok_or_else(restarted)
+        next.ok_or_else(upstream_restarted)
     }
 }
 
-/// A stream whose first event has come.
-pub(crate) struct Opening {
+/// A stream whose first event has arrived.
+pub(crate) struct OpenedStream {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    running: Running,
+    stream: UpstreamStream,
     framer: EventFramer,
     first: Bytes,
-    is_over: bool,
+    is_finished: bool,
 }
 
-impl Opening {
+impl OpenedStream {
     /// Waits for the first event.
     pub(crate) async fn read(
         gateway: &Gateway,
         call: &Call,
-        answering: Answering,
+        attempt_answer: AttemptAnswer,
         history: &History,
-    ) -> Result<Self, Failed> {
-        let status = answering.answer.status;
+    ) -> Result<Self, AttemptError> {
+        let status = attempt_answer.answer.status;
         let headers = gateway
             .parts()
             .dialect
-            .answer_headers(&answering.answer.headers);
-        let mut opening = Self {
+            .answer_headers(&attempt_answer.answer.headers);
+        let mut opened = Self {
             status,
             headers,
-            running: Running::new(answering),
+            stream: UpstreamStream::new(attempt_answer),
             framer: EventFramer::after(call.last_event_id),
             first: Bytes::new(),
-            is_over: false,
+            is_finished: false,
         };
-        let patience = first_patience(gateway, call, history, &opening.running.placed);
-        let deadline = Instant::now() + patience;
-        while opening.first.is_empty() && !opening.is_over {
-            opening.read_chunk(gateway, call, deadline).await?;
+        let timeout = first_event_timeout(gateway, call, history, &opened.stream.placed);
+        let deadline = Instant::now() + timeout;
+        while opened.first.is_empty() && !opened.is_finished {
+            opened.read_chunk(gateway, call, deadline).await?;
         }
-        opening.running.placed.first_event();
-        Ok(opening)
+        opened.stream.placed.first_event();
+        Ok(opened)
     }
 
     async fn read_chunk(
@@ -115,55 +117,62 @@
         gateway: &Gateway,
         call: &Call,
         deadline: Instant,
-    ) -> Result<(), Failed> {
-        let key = key_of(&self.running.upstream);
-        let next = self.running.next(deadline).await?;
+    ) -> Result<(), AttemptError> {
+        let key = key_of(&self.stream.upstream);
+        let next = self.stream.next(deadline).await?;
         match next {
             Ok(Some(Ok(chunk))) => {
                 let framed = self.framer.push(&chunk);
-                let framed =
-                    framed.ok_or_else(|| Failed::MayHaveRun("an endless event".to_owned()))?;
+                let framed = framed
+                    .ok_or_else(|| AttemptError::MayHaveRun("an endless event".to_owned()))?;
                 self.first = framed.bytes;
                 Ok(())
             }
             Ok(None) if !self.framer.is_mid_event() => {
-                self.is_over = true;
+                self.is_finished = true;
                 Ok(())
             }
-            Ok(None) => Err(Failed::Broken("ended within an event".to_owned())),
+            Ok(None) => Err(AttemptError::ConnectionLost(
+                "ended within an event".to_owned(),
+            )),
             Ok(Some(Err(error))) => {
-                gateway.leave_out(key, Failure::Unreachable, &call.id);
-                Err(Failed::Broken(error.to_string()))
+                gateway.eject(key, Failure::Unreachable, &call.id);
+                Err(AttemptError::ConnectionLost(error.to_string()))
             }
-            Err(_) if call.time_left().is_zero() => Err(Failed::OutOfTime),
+            Err(_) if call.time_left().is_zero() => Err(AttemptError::DeadlineExceeded),
             Err(_) => {
-                gateway.leave_out(key, Failure::Silent, &call.id);
-                Err(Failed::MayHaveRun("no first event".to_owned()))
+                gateway.eject(key, Failure::Silent, &call.id);
+                Err(AttemptError::MayHaveRun("no first event".to_owned()))
             }
         }
     }
 }
 
-/// How long to wait for the first event.
-fn first_patience(gateway: &Gateway, call: &Call, history: &History, placed: &Placed) -> Duration {
+/// Time to wait for the first event.
+fn first_event_timeout(
+    gateway: &Gateway,
+    call: &Call,
+    history: &History,
+    placed: &Placed,
+) -> Duration {
     let left = call.time_left();
-    if !call.route.safety.may_repeat() || !history.may_send_again(call) {
+    if !call.route.safety.may_repeat() || !history.has_attempts_left(call) {
         return left;
     }
     let predicted = placed.expected_first_event * 3 + gateway.stall_timeout();
     left.min(predicted + Duration::from_millis(500))
 }
 
-/// A stream that is passed on.
+/// State of a stream that is being relayed.
 pub(crate) struct Relay {
     gateway: Gateway,
     call: Rc<Call>,
     history: History,
-    running: Option<Running>,
+    stream: Option<UpstreamStream>,
     framer: EventFramer,
-    /// Events that were read and not yet passed on.
-    ready: Option<Bytes>,
-    is_over: bool,
+    /// Events that were read but not forwarded yet.
+    pending_events: Option<Bytes>,
+    is_finished: bool,
     first_event: Duration,
     last_event_at: Instant,
     longest_pause: Duration,
@@ -175,19 +184,19 @@
     pub(crate) fn new(
         gateway: Gateway,
         call: Rc<Call>,
-        opening: Opening,
+        opened: OpenedStream,
         history: History,
     ) -> Self {
-        let ready = Some(opening.first).filter(|first| !first.is_empty());
+        let pending_events = Some(opened.first).filter(|first| !first.is_empty());
         Self {
             first_event: call.arrived.elapsed(),
             gateway,
             call,
             history,
-            running: Some(opening.running),
-            framer: opening.framer,
-            ready,
-            is_over: opening.is_over,
+            stream: Some(opened.stream),
+            framer: opened.framer,
+            pending_events,
+            is_finished: opened.is_finished,
             last_event_at: Instant::now(),
             longest_pause: Duration::ZERO,
             outcome: RequestOutcome::Cancelled,
@@ -195,7 +204,7 @@
         }
     }
 
-    /// The events as they come.
+    /// The events as they arrive.
     pub(crate) fn chunks(self) -> impl Stream<Item = Result<Bytes, Aborted>> {
         futures_util::stream::unfold(self, |mut relay| async move {
             let next = relay.next().await?;
@@ -205,45 +214,45 @@
 
     async fn next(&mut self) -> Option<Result<Bytes, Aborted>> {
         loop {
-            if let Some(ready) = self.ready.take() {
-                return Some(Ok(ready));
+            if let Some(pending_events) = self.pending_events.take() {
+                return Some(Ok(pending_events));
             }
-            if self.is_over {
+            if self.is_finished {
                 if self.outcome == RequestOutcome::Cancelled {
                     self.outcome = RequestOutcome::Answered;
-                    note_answered(&self.gateway, &self.call);
-                    if let Some(running) = self.running.as_mut() {
-                        running.placed.answered();
+                    record_success(&self.gateway, &self.call);
+                    if let Some(stream) = self.stream.as_mut() {
+                        stream.placed.answered();
                     }
                 }
                 return None;
             }
-            let Err(failed) = self.read().await else {
+            let Err(error) = self.read().await else {
                 continue;
             };
-            if let Err(failed) = self.resume(failed).await {
-                return Some(Err(self.abort(&failed)));
+            if let Err(error) = self.resume(error).await {
+                return Some(Err(self.abort(&error)));
             }
         }
     }
 
-    /// Reads one chunk of the upstream.
-    async fn read(&mut self) -> Result<(), Failed> {
-        let Some(running) = self.running.as_mut() else {
-            return Err(Failed::OutOfTime);
+    /// Reads one chunk from the upstream.
+    async fn read(&mut self) -> Result<(), AttemptError> {
+        let Some(stream) = self.stream.as_mut() else {
+            return Err(AttemptError::DeadlineExceeded);
         };
-        let silence = silence(&self.call, &self.history);
-        let deadline = self.call.deadline.min(Instant::now() + silence);
-        let next = running.next(deadline).await?;
+        let silence_timeout = silence_timeout(&self.call, &self.history);
+        let deadline = self.call.deadline.min(Instant::now() + silence_timeout);
+        let next = stream.next(deadline).await?;
         match next {
             Ok(Some(Ok(chunk))) => {
-                let key = key_of(&running.upstream);
+                let key = key_of(&stream.upstream);
                 self.gateway.parts().upstreams.heard_from(key);
                 let framed = self.framer.push(&chunk);
-                let framed =
-                    framed.ok_or_else(|| Failed::MayHaveRun("an endless event".to_owned()))?;
-                self.ready = Some(framed.bytes).filter(|bytes| !bytes.is_empty());
-                if self.ready.is_some() {
+                let framed = framed
+                    .ok_or_else(|| AttemptError::MayHaveRun("an endless event".to_owned()))?;
+                self.pending_events = Some(framed.bytes).filter(|bytes| !bytes.is_empty());
+                if self.pending_events.is_some() {
                     let now = Instant::now();
                     let pause = now.saturating_duration_since(self.last_event_at);
                     self.longest_pause = self.longest_pause.max(pause);
@@ -252,97 +261,108 @@
                 Ok(())
             }
             Ok(None) if !self.framer.is_mid_event() => {
-                self.is_over = true;
+                self.is_finished = true;
                 Ok(())
             }
-            Ok(None) => Err(Failed::Broken("ended within an event".to_owned())),
-            Ok(Some(Err(error))) => Err(Failed::Broken(error.to_string())),
-            Err(_) if self.call.time_left().is_zero() => Err(Failed::OutOfTime),
-            // Without room for another send, the only one that can still go on is
-            // the upstream itself, which may only be slow.
-            Err(_) if !self.may_be_taken_up() => Ok(()),
-            Err(_) => Err(Failed::MayHaveRun("silent".to_owned())),
+            Ok(None) => Err(AttemptError::ConnectionLost(
+                "ended within an event".to_owned(),
+            )),
+            Ok(Some(Err(error))) => Err(AttemptError::ConnectionLost(error.to_string())),
+            Err(_) if self.call.time_left().is_zero() => Err(AttemptError::DeadlineExceeded),
+            // Without budget for a retry only the upstream itself can continue, and it may
+            // merely be slow.
+            Err(_) if !self.may_resume_elsewhere() => Ok(()),
+            Err(_) => Err(AttemptError::MayHaveRun("silent".to_owned())),
         }
     }
 
-    /// Whether the budget leaves room for another upstream to go on.
-    fn may_be_taken_up(&self) -> bool {
-        let daemons = self.gateway.daemons();
-        let budget = self.gateway.budget();
+    /// Whether the retry budget allows another upstream to resume the stream.
+    fn may_resume_elsewhere(&self) -> bool {
+        let daemons = self.gateway.daemon_count();
+        let budget = self.gateway.retry_budget();
         budget.has_room(&self.call.service, daemons, Instant::now())
     }
 
-    /// Has another upstream go on after the last event.
-    async fn resume(&mut self, failed: Failed) -> Result<(), Failed> {
-        let mut failed = failed;
-        if let Some(broken) = self.running.take() {
+    /// Has another upstream resume the stream after the last event.
+    async fn resume(&mut self, error: AttemptError) -> Result<(), AttemptError> {
+        let mut error = error;
+        if let Some(broken) = self.stream.take() {
             let key = key_of(&broken.upstream);
-            self.gateway
-                .leave_out(key, Failure::Unreachable, &self.call.id);
+            self.gateway.eject(key, Failure::Unreachable, &self.call.id);
             let upstream = &broken.upstream;
-            note_failed(&self.gateway, &self.call, upstream, BROKEN_OFF, &failed).await;
+            record_failed_attempt(
+                &self.gateway,
+                &self.call,
+                upstream,
+                OUTCOME_BROKEN_OFF,
+                &error,
+            )
+            .await;
         }
         let last_id = self.framer.last_id();
-        while last_id.is_some() && self.history.may_go_on(&self.gateway, &self.call, &failed) {
+        while last_id.is_some() && self.history.may_retry(&self.gateway, &self.call, &error) {
             let resumed = attempt(&self.gateway, &self.call, &mut self.history, last_id).await;
             match resumed {
-                Ok(answering) if answering.answer.status.is_success() => {
-                    let mut running = Running::new(answering);
-                    running.placed.first_event();
-                    self.running = Some(running);
+                Ok(attempt_answer) if attempt_answer.answer.status.is_success() => {
+                    let mut stream = UpstreamStream::new(attempt_answer);
+                    stream.placed.first_event();
+                    self.stream = Some(stream);
                     self.framer = EventFramer::after(last_id);
                     return Ok(());
                 }
-                Ok(answering) => {
-                    failed = Failed::MayHaveRun(format!("answered {}", answering.answer.status));
+                Ok(attempt_answer) => {
+                    error = AttemptError::MayHaveRun(format!(
+                        "answered {}",
+                        attempt_answer.answer.status
+                    ));
                 }
-                Err(next) => failed = next,
+                Err(next) => error = next,
             }
         }
-        Err(failed)
+        Err(error)
     }
 
-    fn abort(&mut self, failed: &Failed) -> Aborted {
+    fn abort(&mut self, error: &AttemptError) -> Aborted {
         self.outcome = RequestOutcome::Failed;
-        self.reason = failed.to_string();
-        self.is_over = true;
-        self.running = None;
+        self.reason = error.to_string();
+        self.is_finished = true;
+        self.stream = None;
         Aborted
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        let (upstream, readers, expected) = match &self.running {
-            Some(running) => (
-                running.upstream.id.as_str(),
-                running.placed.readers.len(),
-                running.placed.expected_first_event,
+        let (upstream, engines, expected) = match &self.stream {
+            Some(stream) => (
+                stream.upstream.id.as_str(),
+                stream.placed.readers.len(),
+                stream.placed.expected_first_event,
             ),
             None => ("", 0, Duration::ZERO),
         };
-        let ended = Ended {
+        let summary = RequestSummary {
             outcome: self.outcome,
             reason: &self.reason,
             status: 200,
             upstream,
-            readers,
+            engines,
             expected,
             first_event: Some(self.first_event),
             longest_pause: self.longest_pause,
-            ..ended(&self.call, &self.history)
+            ..request_summary(&self.call, &self.history)
         };
-        ended.write(&self.gateway.parts().metrics);
+        summary.write(&self.gateway.parts().metrics);
     }
 }
 
-/// Silence after which the upstream is given up, if another one may go on.
-fn silence(call: &Call, history: &History) -> Duration {
+/// Silence after which the upstream is given up, if another one may resume the stream.
+fn silence_timeout(call: &Call, history: &History) -> Duration {
     let Safety::Stream { resumable, gap } = call.route.safety else {
         return call.time_left();
     };
-    if !resumable || !history.may_send_again(call) {
+    if !resumable || !history.has_attempts_left(call) {
         return call.time_left();
     }
-    (gap * SILENT_PAUSES).max(LEAST_SILENCE)
+    (gap * SILENCE_TIMEOUT_GAPS).max(MIN_SILENCE_TIMEOUT)
 }
--- a/crates/gateway/src/reservations.rs
+++ b/crates/gateway/src/reservations.rs
@@ -1,8 +1,7 @@
 //! Memory reserved at engines for one request.
 //!
-//! A reservation is held for a few seconds and renewed while its request runs,
-//! so that it ends by itself soon after this daemon does. Dropping
-//! [`Reservations`] gives all of them back.
+//! A reservation is held for a few seconds and renewed while its request runs, so that it
+//! expires soon after this daemon dies. Dropping [`Reservations`] releases all of them.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,33 +16,32 @@
 
 use crate::dialect::{Dialect, ReservationId};
 
-/// Renewals within the time for which a reservation is held.
+/// Renewals within the hold time of a reservation.
 const RENEWALS_PER_HOLD: u32 = 3;
 
-/// Time for an engine to answer an order: many times what it takes.
-const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time for an engine to answer a reservation call: many times the usual one.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Largest answer to an order, in bytes.
+/// Largest answer to a reservation call, in bytes.
 const ANSWER_LIMIT_BYTES: usize = 64 * 1024;
 
-/// Times that giving a reservation back is tried.
-const RELEASE_TRIES: u32 = 3;
+/// Attempts to release a reservation.
+const RELEASE_ATTEMPTS: u32 = 3;
 
-/// What reservations are made with.
+/// Makes reservation calls to engines.
 #[derive(Clone)]
-pub(crate) struct Orders {
+pub(crate) struct ReservationClient {
     pub(crate) connections: Connections,
     pub(crate) dialect: Rc<dyn Dialect>,
     pub(crate) hold: Duration,
 }
 
-impl std::fmt::Debug for Orders {
+impl std::fmt::Debug for ReservationClient {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Orders").finish_non_exhaustive()
+        f.debug_struct("ReservationClient").finish_non_exhaustive()
     }
 }
 
-/// One reservation.
 #[derive(Debug, Clone)]
 struct Reservation {
     upstream: Upstream,
@@ -54,156 +52,178 @@
 /// The reservations of one request.
 #[derive(Debug)]
 pub(crate) struct Reservations {
-    orders: Orders,
+    client: ReservationClient,
     held: Vec<Reservation>,
-    /// Dropped when the request ends; each task then gives its reservation back.
-    renewals: Vec<oneshot::Sender<()>>,
+    /// Dropped when the request ends; each renewal task then releases its reservation.
+    renewal_guards: Vec<oneshot::Sender<()>>,
 }
 
 impl Reservations {
-    /// Reserves what `readers` say; all of it or nothing.
+    /// Reserves the memory that `readers` need; all of it or none.
     ///
-    /// Each reservation's id begins with `name`, which no other request has.
+    /// The id of each reservation begins with `name`, which is unique to the request.
     ///
     /// # Errors
-    /// Id of the upstream that did not reserve.
-    pub(crate) async fn make(
-        orders: &Orders,
+    /// The upstream that did not reserve the memory.
+    pub(crate) async fn acquire(
+        client: &ReservationClient,
         readers: &[Reader],
         name: &str,
     ) -> Result<Self, Upstream> {
-        let wanted = readers.iter().enumerate().filter_map(|(place, reader)| {
+        let requested = readers.iter().enumerate().filter_map(|(index, reader)| {
             Some(Reservation {
                 upstream: reader.upstream.clone(),
-                id: format!("{name}-{place}"),
+                id: format!("{name}-{index}"),
                 tokens: reader.reserve_tokens?,
             })
         });
         let mut reservations = Self {
-            orders: orders.clone(),
-            held: wanted.collect(),
-            renewals: Vec::new(),
+            client: client.clone(),
+            held: requested.collect(),
+            renewal_guards: Vec::new(),
         };
         if reservations.held.is_empty() {
             return Ok(reservations);
         }
-        let made = join_all(
+        let results = join_all(
             reservations
                 .held
                 .iter()
-                .map(|one| reserve_first(orders, one)),
+                .map(|reservation| reserve_first(client, reservation)),
         )
         .await;
-        for (one, is_made) in reservations.held.iter().zip(made) {
-            if !is_made {
-                // Dropping gives back also the one that may have been made unheard.
-                return Err(one.upstream.clone());
+        for (reservation, is_confirmed) in reservations.held.iter().zip(results) {
+            if !is_confirmed {
+                // Dropping `reservations` also releases one that was made although its
+                // answer was lost.
+                return Err(reservation.upstream.clone());
             }
         }
-        for one in &reservations.held {
-            let (request_lives, request_ended) = oneshot::channel();
-            spawn(keep(orders.clone(), one.clone(), request_ended)).detach();
-            reservations.renewals.push(request_lives);
+        for reservation in &reservations.held {
+            let (request_guard, request_ended) = oneshot::channel();
+            spawn(renew_until_ended(
+                client.clone(),
+                reservation.clone(),
+                request_ended,
+            ))
+            .detach();
+            reservations.renewal_guards.push(request_guard);
         }
         Ok(reservations)
     }
 
     /// Id of the reservation at `upstream`.
-    pub(crate) fn at(&self, upstream: &Upstream) -> Option<ReservationId> {
+    pub(crate) fn id_at(&self, upstream: &Upstream) -> Option<ReservationId> {
         let mut held = self.held.iter();
-        held.find(|one| one.upstream.id == upstream.id)
-            .map(|one| one.id.clone())
+        held.find(|reservation| reservation.upstream.id == upstream.id)
+            .map(|reservation| reservation.id.clone())
     }
 }
 
 impl Drop for Reservations {
     fn drop(&mut self) {
-        if !self.renewals.is_empty() {
+        if !self.renewal_guards.is_empty() {
             return;
         }
-        // Not all were made, so that none is kept by a task.
-        for one in self.held.drain(..) {
-            let orders = self.orders.clone();
-            spawn(async move { release(&orders, &one).await }).detach();
+        // Some reservations failed, so no renewal task was started that would release the
+        // others.
+        for reservation in self.held.drain(..) {
+            let client = self.client.clone();
+            spawn(async move { release(&client, &reservation).await }).detach();
         }
     }
 }
 
-/// Renews a reservation until its request has ended, and gives it back then.
+/// Renews a reservation until its request has ended, then releases it.
 ///
-/// One after the other: a renewal that is taken in after the release would hold the memory
-/// until it ends by itself.
-async fn keep(orders: Orders, one: Reservation, mut request_ended: oneshot::Receiver<()>) {
-    let pause = orders.hold / RENEWALS_PER_HOLD;
+/// The calls are made one after the other: a renewal that is processed after the release
+/// would hold the memory until it expires.
+async fn renew_until_ended(
+    client: ReservationClient,
+    reservation: Reservation,
+    mut request_ended: oneshot::Receiver<()>,
+) {
+    let pause = client.hold / RENEWALS_PER_HOLD;
     while compio::time::timeout(pause, &mut request_ended)
         .await
         .is_err()
     {
-        reserve(&orders, &one, ORDER_TIMEOUT).await;
+        reserve(&client, &reservation, CALL_TIMEOUT).await;
     }
-    release(&orders, &one).await;
+    release(&client, &reservation).await;
 }
 
-/// Reserves memory that was not reserved before; whether the engine says so in time.
+/// Makes a new reservation; returns whether the engine confirmed it in time.
 ///
-/// A late answer is awaited on: the reservation may be made after it was given back, and is
-/// given back once more then.
-async fn reserve_first(orders: &Orders, one: &Reservation) -> bool {
-    let (told, answered) = oneshot::channel();
-    let (orders, one) = (orders.clone(), one.clone());
-    let reserving = async move {
-        let is_made = reserve(&orders, &one, orders.hold).await;
-        if told.send(is_made).is_err() {
-            release(&orders, &one).await;
+/// A late answer is still awaited: the engine may make the reservation after it was
+/// released, and it is then released once more.
+async fn reserve_first(client: &ReservationClient, reservation: &Reservation) -> bool {
+    let (result_sender, result_receiver) = oneshot::channel();
+    let (client, reservation) = (client.clone(), reservation.clone());
+    let attempt = async move {
+        let is_confirmed = reserve(&client, &reservation, client.hold).await;
+        if result_sender.send(is_confirmed).is_err() {
+            release(&client, &reservation).await;
         }
     };
-    spawn(reserving).detach();
-    let answered = compio::time::timeout(ORDER_TIMEOUT, answered).await;
-    matches!(answered, Ok(Ok(true)))
+    spawn(attempt).detach();
+    let result = compio::time::timeout(CALL_TIMEOUT, result_receiver).await;
+    matches!(result, Ok(Ok(true)))
 }
 
-async fn reserve(orders: &Orders, one: &Reservation, timeout: Duration) -> bool {
-    let request = orders.dialect.reserve(&one.id, one.tokens, orders.hold);
-    send(orders, one, request, timeout).await == Some(StatusCode::OK)
+async fn reserve(client: &ReservationClient, reservation: &Reservation, timeout: Duration) -> bool {
+    let request = client
+        .dialect
+        .reserve(&reservation.id, reservation.tokens, client.hold);
+    send(client, reservation, request, timeout).await == Some(StatusCode::OK)
 }
 
-async fn release(orders: &Orders, one: &Reservation) {
-    for _ in 0..RELEASE_TRIES {
-        let request = orders.dialect.release(&one.id);
-        if send(orders, one, request, ORDER_TIMEOUT).await.is_some() {
+async fn release(client: &ReservationClient, reservation: &Reservation) {
+    for _ in 0..RELEASE_ATTEMPTS {
+        let request = client.dialect.release(&reservation.id);
+        if send(client, reservation, request, CALL_TIMEOUT)
+            .await
+            .is_some()
+        {
             return;
         }
     }
-    log::warn!(upstream = one.upstream.id.as_str(), reservation = one.id.as_str();
-        "gateway: reservation not given back; it ends by itself");
+    log::warn!(upstream = reservation.upstream.id.as_str(), reservation = reservation.id.as_str();
+        "gateway: reservation not released; it will expire");
 }
 
 async fn send(
-    orders: &Orders,
-    one: &Reservation,
+    client: &ReservationClient,
+    reservation: &Reservation,
     mut request: http::Request<http_body_util::Full<bytes::Bytes>>,
     timeout: Duration,
 ) -> Option<StatusCode> {
     let target = Target {
-        instance: one.upstream.id.clone(),
-        address: one.upstream.address,
+        instance: reservation.upstream.id.clone(),
+        address: reservation.upstream.address,
     };
-    if let Ok(host) = HeaderValue::try_from(one.upstream.address.to_string()) {
+    if let Ok(host) = HeaderValue::try_from(reservation.upstream.address.to_string()) {
         request.headers_mut().insert(header::HOST, host);
     }
     let deadline = Instant::now() + timeout;
-    let sent = orders.connections.send(&target, request, deadline).await;
+    let sent = client.connections.send(&target, request, deadline).await;
     let answer = match sent {
         Ok(answer) => answer,
         Err(error) => {
-            log::debug!("gateway: order to {} failed: {error}", one.upstream.id);
+            log::debug!(
+                "gateway: reservation call to {} failed: {error}",
+                reservation.upstream.id
+            );
             return None;
         }
     };
     let status = answer.status;
-    // Read to its end, so that the connection can be used again.
+    // Read to the end, so that the connection can be reused.
     if let Err(error) = answer.bytes(ANSWER_LIMIT_BYTES, deadline).await {
-        log::debug!("gateway: answer of {} broke off: {error}", one.upstream.id);
+        log::debug!(
+            "gateway: reading the answer of {} failed: {error}",
+            reservation.upstream.id
+        );
     }
     Some(status)
 }
--- a/crates/gateway/src/retry_budget.rs
+++ b/crates/gateway/src/retry_budget.rs
@@ -1,9 +1,9 @@
-//! Limit on requests that are sent to a second upstream.
+//! Budget of retries: requests that are sent to another upstream after they may have
+//! reached one.
 //!
-//! The limit is on all daemons together, over any window of its length. Each
-//! daemon takes a share that needs no word with the others: of the part that
-//! grows with the requests, what its own requests allow; of the fixed part, an
-//! equal share.
+//! The limit applies to all daemons together, in any time window of its length. Each daemon
+//! uses a share of it without coordination: of the part that is proportional to the
+//! requests, that of its own requests; of the fixed part, an equal share.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -11,17 +11,18 @@
 
 use mangofront_settings::ids::ServiceName;
 
-/// Share of the limit that is used, as windows of the daemons differ.
-const USED_SHARE: f64 = 0.7;
+/// Share of the limit that is used; the rest is a margin, as the time windows of the
+/// daemons differ.
+const USABLE_SHARE: f64 = 0.7;
 
-/// Limit on second sends.
+/// Limit on retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimit {
-    /// Second sends for each request; 0.2 by default.
+    /// Retries per request; 0.2 by default.
     pub ratio: f64,
-    /// Second sends on top, of all daemons together; 100 by default.
+    /// Additional retries of all daemons together; 100 by default.
     pub slack: f64,
-    /// Span in which both are counted; 10 s by default.
+    /// Time window in which requests and retries are counted; 10 s by default.
     pub window: Duration,
 }
 
@@ -35,21 +36,21 @@
     }
 }
 
-/// Second sends of this daemon.
+/// The retries of this daemon.
 #[derive(Debug)]
 pub struct RetryBudget {
     limit: RetryLimit,
-    services: RefCell<HashMap<ServiceName, Sends>>,
+    services: RefCell<HashMap<ServiceName, SendTimes>>,
 }
 
 #[derive(Debug, Default)]
-struct Sends {
+struct SendTimes {
     requests: VecDeque<Instant>,
-    second: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 impl RetryBudget {
-    /// Nothing was sent yet.
+    /// Creates a budget from which nothing was taken.
     #[must_use]
     pub fn new(limit: RetryLimit) -> Self {
         Self {
@@ -58,46 +59,51 @@
         }
     }
 
-    /// Notes a request for a service.
+    /// Records a request to a service.
     pub fn record_request(&self, service: &str, now: Instant) {
         let mut services = self.services.borrow_mut();
-        let sends = entry(&mut services, service);
+        let sends = service_entry(&mut services, service);
         sends.forget(self.limit.window, now);
         sends.requests.push_back(now);
     }
 
-    /// Takes one second send, if `daemons` that share the limit leave room for it.
+    /// Takes one retry if this daemon's share allows it; `daemons` is the number of daemons that
+    /// share the limit.
     pub fn try_take(&self, service: &str, daemons: usize, now: Instant) -> bool {
         let has_room = self.has_room(service, daemons, now);
         if has_room {
             let mut services = self.services.borrow_mut();
-            entry(&mut services, service).second.push_back(now);
+            service_entry(&mut services, service).retries.push_back(now);
         }
         has_room
     }
 
-    /// Whether `daemons` that share the limit leave room for one more second send.
+    /// Whether this daemon's share allows one more retry; `daemons` is the number of daemons
+    /// that share the limit.
     pub fn has_room(&self, service: &str, daemons: usize, now: Instant) -> bool {
         let mut services = self.services.borrow_mut();
-        let sends = entry(&mut services, service);
+        let sends = service_entry(&mut services, service);
         sends.forget(self.limit.window, now);
         let by_requests = self.limit.ratio * sends.requests.len() as f64;
         let fixed = self.limit.slack / daemons.max(1) as f64;
-        let allowed = USED_SHARE * (by_requests + fixed);
-        (sends.second.len() + 1) as f64 <= allowed
+        let allowed = USABLE_SHARE * (by_requests + fixed);
+        (sends.retries.len() + 1) as f64 <= allowed
     }
 }
 
-fn entry<'a>(services: &'a mut HashMap<ServiceName, Sends>, service: &str) -> &'a mut Sends {
+fn service_entry<'a>(
+    services: &'a mut HashMap<ServiceName, SendTimes>,
+    service: &str,
+) -> &'a mut SendTimes {
     if !services.contains_key(service) {
-        services.insert(service.to_owned(), Sends::default());
+        services.insert(service.to_owned(), SendTimes::default());
     }
     services.entry(service.to_owned()).or_default()
 }
 
-impl Sends {
+impl SendTimes {
     fn forget(&mut self, window: Duration, now: Instant) {
-        for times in [&mut self.requests, &mut self.second] {
+        for times in [&mut self.requests, &mut self.retries] {
             while times
                 .front()
                 .is_some_and(|time| now.saturating_duration_since(*time) > window)
--- a/crates/gateway/src/signal.rs
+++ b/crates/gateway/src/signal.rs
@@ -1,52 +1,52 @@
-//! Wakes whoever waits for something to happen.
+//! Notification between tasks of one thread.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
 use futures_channel::oneshot;
 
-/// Tasks that wait, each until the next call.
+/// Tasks that wait for the next wakeup.
 #[derive(Debug, Default)]
-pub(crate) struct Wakeup(RefCell<Vec<oneshot::Sender<()>>>);
+pub(crate) struct Waiters(RefCell<Vec<oneshot::Sender<()>>>);
 
-/// A task that is called, at once or as soon as it waits.
+/// Wakes a task that waits, or makes its next wait return immediately.
 #[derive(Debug, Default)]
-pub(crate) struct Call {
-    waiting: Wakeup,
-    is_due: Cell<bool>,
+pub(crate) struct Signal {
+    waiters: Waiters,
+    is_raised: Cell<bool>,
 }
 
-impl Wakeup {
-    /// Wakes all that wait by now.
-    pub(crate) fn wake(&self) {
-        for waiting in self.0.take() {
-            // It may have gone on by itself.
-            let _ = waiting.send(());
+impl Waiters {
+    /// Wakes all tasks that are waiting.
+    pub(crate) fn wake_all(&self) {
+        for sender in self.0.take() {
+            // The task may have stopped waiting.
+            let _ = sender.send(());
         }
     }
 
-    /// Waits to be woken, for at most `time`.
+    /// Waits for the next wakeup, for at most `time`.
     pub(crate) async fn wait(&self, time: Duration) {
-        let (wake, woken) = oneshot::channel();
-        self.0.borrow_mut().push(wake);
-        // The end of the time and the waking lead to the same.
-        let _ = compio::time::timeout(time, woken).await;
-        self.0.borrow_mut().retain(|waiting| !waiting.is_canceled());
+        let (sender, receiver) = oneshot::channel();
+        self.0.borrow_mut().push(sender);
+        // A timeout and a wakeup have the same effect.
+        let _ = compio::time::timeout(time, receiver).await;
+        self.0.borrow_mut().retain(|sender| !sender.is_canceled());
     }
 }
 
-impl Call {
-    /// Calls the task.
-    pub(crate) fn call(&self) {
-        self.is_due.set(true);
-        self.waiting.wake();
+impl Signal {
+    /// Wakes the task.
+    pub(crate) fn raise(&self) {
+        self.is_raised.set(true);
+        self.waiters.wake_all();
     }
 
-    /// Waits for a call since the last wait, for at most `time`.
+    /// Waits until the signal was raised since the last wait, for at most `time`.
     pub(crate) async fn wait(&self, time: Duration) {
-        if !self.is_due.get() {
-            self.waiting.wait(time).await;
+        if !self.is_raised.get() {
+            self.waiters.wait(time).await;
         }
-        self.is_due.set(false);
+        self.is_raised.set(false);
     }
 }
--- a/crates/gateway/src/source_availability.rs
+++ b/crates/gateway/src/source_availability.rs
@@ -1,95 +1,97 @@
-//! Whether the source of what is published was there all the while.
+//! Availability of the source of the published values.
 //!
-//! While a source is out of reach, registrations may lapse of upstreams that live. Once it
-//! is back these return within a moment, which is counted from its return: what is missing
-//! after that has left, whenever it is noticed.
+//! While the source is unavailable, registrations of live upstreams may lapse. These
+//! upstreams register again within a grace period, which counts from the source's recovery:
+//! a registration that is missing after that belongs to an upstream that has left, whenever
+//! its absence is noticed.
 //!
-//! A failed call of one daemon says nothing of that: the source may turn away this daemon
-//! only, or the call was late by itself. So daemons tell each other since when and until
-//! when the source has answered without a break, and what another one saw answered was no
-//! outage.
+//! A failed call of one daemon does not prove an outage: the source may reject this daemon
+//! only, or the call itself was late. Daemons therefore tell each other the period in which
+//! the source has answered without interruption, and a period in which another daemon got
+//! answers is no outage.
 
 use std::time::{Duration, Instant};
 
-/// Difference between two daemons' accounts of one moment: a datagram's way, a busy
-/// processor, and the pause between two calls.
-const ACCOUNT_TOLERANCE: Duration = Duration::from_millis(300);
+/// Difference between two daemons' reports of the same moment: the transit time of a
+/// datagram, a busy CPU, and the pause between two calls.
+const REPORT_TOLERANCE: Duration = Duration::from_millis(300);
 
-/// Longest time between two answers to calls of this daemon that makes no break, as no
-/// registration lapses in it.
-const CALLS_TOLERANCE: Duration = Duration::from_secs(1);
+/// Longest time between two answers to this daemon that is no interruption, since no
+/// registration lapses within it.
+const MAX_CALL_GAP: Duration = Duration::from_secs(1);
 
-/// Time without any account of the source after which this daemon was cut off.
+/// Time without any report on the source after which this daemon counts as cut off.
 ///
-/// Upstreams that were cut off with it may have lapsed, whatever the others saw.
+/// Upstreams that were cut off with it may have lapsed, whatever the other daemons saw.
 const CUT_OFF_AFTER: Duration = Duration::from_secs(3);
 
-/// Contact with the source, as far as this daemon and those that it hears know.
+/// The source's availability, as far as this daemon and those that report to it know.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SourceAvailability {
     answered: Option<AnsweredPeriod>,
-    /// The last call failed, and nobody has told of a later answer.
+    /// The last call failed, and no daemon has reported a later answer.
     is_failing: bool,
     outage: Option<Outage>,
 }
 
-/// A time in which the source answered without a break.
+/// A period in which the source answered without interruption.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnsweredPeriod {
-    /// When the first of the answers was asked for.
+    /// When the call of the first answer was made.
     pub since: Instant,
-    /// When the last one came.
+    /// When the last answer arrived.
     pub until: Instant,
 }
 
-/// A time of which nobody told that the source answered.
+/// A period in which no daemon is known to have got an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Outage {
     from: Instant,
     until: Instant,
-    /// It may be one of the source, which other daemons saw too.
+    /// Whether it may be an outage of the source itself, which other daemons saw too.
     is_shared: bool,
 }
 
 impl AnsweredPeriod {
-    fn goes_back_to(&self, moment: Instant) -> bool {
-        self.since <= moment + ACCOUNT_TOLERANCE
+    fn began_by(&self, moment: Instant) -> bool {
+        self.since <= moment + REPORT_TOLERANCE
     }
 }
 
 impl SourceAvailability {
-    /// Notes that a call failed.
+    /// Records a failed call.
     ///
-    /// Before the first answer nothing is known that could lapse.
+    /// Before the first answer no registration is known that could lapse.
     pub fn record_failure(&mut self) {
         self.is_failing = self.answered.is_some();
     }
 
-    /// Notes that the source answered at `now` a call of `asked`.
-    pub fn record_answer(&mut self, asked: Instant, now: Instant) {
+    /// Records an answer, received at `now`, to a call made at `called_at`.
+    pub fn record_answer(&mut self, called_at: Instant, now: Instant) {
         let since = match self.answered {
-            Some(before) if self.is_broken(before, asked) => {
-                let cut_off = asked.saturating_duration_since(before.until);
+            Some(before) if self.is_interrupted(before, called_at) => {
+                let cut_off = called_at.saturating_duration_since(before.until);
                 self.outage = Some(Outage {
                     from: before.until,
-                    until: asked.max(before.until),
+                    until: called_at.max(before.until),
                     is_shared: cut_off <= CUT_OFF_AFTER,
                 });
-                asked
+                called_at
             }
             Some(before) => before.since,
-            None => asked,
+            None => called_at,
         };
         self.answered = Some(AnsweredPeriod { since, until: now });
         self.is_failing = false;
     }
 
-    /// Whether the source may have been away between the answers before and a call of `asked`.
-    fn is_broken(&self, before: AnsweredPeriod, asked: Instant) -> bool {
-        self.is_failing || asked > before.until + CALLS_TOLERANCE
+    /// Whether the source may have been unavailable between the answers before and a call
+    /// made at `called_at`.
+    fn is_interrupted(&self, before: AnsweredPeriod, called_at: Instant) -> bool {
+        self.is_failing || called_at > before.until + MAX_CALL_GAP
     }
 
-    /// Takes in at `now` what another daemon knows of the source's answers.
+    /// Merges the period that another daemon reported, received at `now`.
     pub fn merge(&mut self, other: AnsweredPeriod, now: Instant) {
         let Some(own) = self.answered else {
             self.answered = Some(other);
@@ -100,12 +102,12 @@
             return;
         }
         let was_cut_off = now.saturating_duration_since(own.until) > CUT_OFF_AFTER;
-        let is_unbroken = other.goes_back_to(own.until);
-        let since = match is_unbroken {
+        let is_continuous = other.began_by(own.until);
+        let since = match is_continuous {
             true => own.since.min(other.since),
             false => other.since,
         };
-        if was_cut_off || !is_unbroken {
+        if was_cut_off || !is_continuous {
             self.outage = Some(Outage {
                 from: own.until,
                 until: if was_cut_off { now } else { other.since },
@@ -117,7 +119,7 @@
         self.is_failing = false;
     }
 
-    /// Ends an outage sooner, or forgets it, where another daemon saw answers meanwhile.
+    /// Shortens an outage, or drops it, if another daemon got answers in the meantime.
     fn correct_outage(&mut self, other: AnsweredPeriod) {
         let Some(mut outage) = self.outage.filter(|outage| outage.is_shared) else {
             return;
@@ -126,28 +128,28 @@
             return;
         }
         outage.until = outage.until.min(other.since);
-        self.outage = match other.goes_back_to(outage.from) {
+        self.outage = match other.began_by(outage.from) {
             true => None,
             false => Some(outage),
         };
     }
 
-    /// Whether the last call failed, and nobody has told of a later answer.
+    /// Whether the last call failed and no daemon has reported a later answer.
     #[must_use]
     pub fn is_failing(&self) -> bool {
         self.is_failing
     }
 
-    /// The time in which the source last answered without a break.
+    /// The last period in which the source answered without interruption.
     #[must_use]
     pub fn last_answered(&self) -> Option<AnsweredPeriod> {
         self.answered
     }
 
-    /// Until when an upstream is used on whose registration is found missing at `now`; not
-    /// at all where it can't have lapsed.
+    /// End of the grace period of an upstream whose registration is found missing at `now`;
+    /// `None` if it can't have lapsed.
     #[must_use]
-    pub fn keep_until(&self, now: Instant, grace: Duration) -> Option<Instant> {
+    pub fn grace_until(&self, now: Instant, grace: Duration) -> Option<Instant> {
         if self.is_failing {
             return Some(now + grace);
         }
--- a/crates/gateway/src/state_exchange.rs
+++ b/crates/gateway/src/state_exchange.rs
@@ -1,14 +1,13 @@
-//! What daemons tell each other by datagram: where they have just placed
-//! requests, what has changed among the upstreams, and how far they know what is
-//! published.
+//! Exchange of state between daemons by UDP datagram: load updates, changes of upstreams,
+//! and confirmations of the published values.
 //!
-//! Engines report their load late, so two daemons that each look for an idle
-//! engine would meet at the same one. Each placement, first event and end is
-//! told to every other daemon: at once by the teller itself in a small fleet, by
-//! relays in a large one ([`mangofront_dissemination`]). Datagrams may be lost: a
-//! request that is heard of expires by itself. Membership comes from
-//! `mangofront-peers`, whose links would cost a round trip and several thread
-//! switches for each of these messages.
+//! Engines report their load with a delay, so two daemons that look for an idle engine at
+//! the same time would select the same one. Each placement, first event and end of a
+//! request is therefore broadcast to every other daemon: directly in a small fleet, through
+//! relays in a large one ([`mangofront_dissemination`]). Datagrams may be lost; a request
+//! that other daemons reported expires on its own. Membership comes from
+//! `mangofront-peers`, whose connections would add a round trip and several thread switches
+//! to each of these messages.
 
 mod broadcast;
 mod incarnations;
@@ -32,89 +31,89 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::datagram::{Datagram, Message, Nonce, parts};
+use crate::datagram::{Datagram, Message, Nonce, split_into_datagrams};
 use crate::published::Published;
-use queries::Answer;
-pub(crate) use queries::{Circle, Told};
+use queries::RawReply;
+pub(crate) use queries::{QueryGroup, Reply};
 
-/// Largest datagram that is read, in bytes.
+/// Largest datagram that can be received, in bytes.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Duty of passing news on in a zone; the number of a slice follows.
+/// Prefix of the duty of relaying load updates in a zone; the number of a slice follows.
 const RELAY_DUTY: &str = "relay-news";
 
-/// Age up to which it is taken for known who relays: membership changes more slowly,
-/// and looking through hundreds of members for each telling would cost more than it.
-const PATHS_AGE: Duration = Duration::from_millis(250);
+/// Age up to which the broadcast paths are reused: membership changes more slowly, and
+/// iterating over hundreds of members for each batch would cost more than sending it.
+const PATHS_MAX_AGE: Duration = Duration::from_millis(250);
 
-/// Time until a daemon that is told directly has taken it in: a way between zones and
-/// two turns of busy processors. Relays hold it for half a window twice.
-const TELLING_DELAY: Duration = Duration::from_millis(4);
+/// Time until a directly addressed daemon has applied an update: the latency between zones
+/// and two scheduling delays on busy CPUs. Relays add half a window twice.
+const DIRECT_DELIVERY_DELAY: Duration = Duration::from_millis(4);
 
-/// Pause after a failed reading, so that a lasting fault does not spin.
-const FAILURE_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed receive, so that a persistent error does not cause a busy loop.
+const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Exchange that could not be started.
+/// Error of a state exchange that could not be started.
 #[derive(Debug, Error)]
-#[error("listen for news on {address} failed: {cause}")]
+#[error("listening for datagrams on {address} failed: {cause}")]
 pub struct StateExchangeError {
     address: SocketAddr,
     cause: io::Error,
 }
 
 impl StateExchangeError {
-    /// Whether another process has the address.
+    /// Whether another process uses the address.
     #[must_use]
     pub fn is_address_in_use(&self) -> bool {
         self.cause.kind() == io::ErrorKind::AddrInUse
     }
 }
 
-/// Settings of [`StateExchange`].
+/// Settings of a [`StateExchange`].
 #[derive(Debug, Clone)]
 pub struct StateExchangeOptions {
     /// Address to listen on; the other daemons listen on the same port.
     pub address: SocketAddr,
     /// Name of this daemon.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of this daemon.
     pub zone: AvailabilityZone,
-    /// Other daemons from which on news is relayed.
+    /// Number of other daemons from which load updates go through relays.
     pub relay_from_daemons: usize,
 }
 
-/// News from and to the other daemons.
+/// Sends state to the other daemons and receives theirs.
 #[derive(Debug)]
 pub struct StateExchange {
     socket: UdpSocket,
-    own: SocketAddr,
+    own_address: SocketAddr,
     relay_from_daemons: usize,
     peers: Peers,
-    daemon: u64,
+    daemon_hash: u64,
     zone: AvailabilityZone,
     upstreams: Upstreams,
-    /// Lives of the other daemons, by their short names.
-    lives: RefCell<HashMap<u64, Incarnation>>,
+    /// Current incarnation of each other daemon, by the hash of its name.
+    incarnations: RefCell<HashMap<u64, Incarnation>>,
     published: Published,
-    /// Questions whose answers are awaited.
-    asked: RefCell<HashMap<Nonce, UnboundedSender<Answer>>>,
-    next_nonce: Cell<Nonce>,
+    /// Queries that wait for replies.
+    pending_queries: RefCell<HashMap<Nonce, UnboundedSender<RawReply>>>,
+    nonce_counter: Cell<Nonce>,
     next_sequence: Cell<Sequence>,
     sequences: RefCell<Sequences>,
     paths: RefCell<Option<(Instant, Rc<Paths>)>>,
-    /// What this daemon has to pass on.
-    held: RefCell<Held<News>>,
-    /// Whether a task waits to pass on what is held.
-    is_passing_on: Cell<bool>,
-    /// When a relay of the zone last passed something on to this daemon.
-    relay_heard: Cell<Option<Instant>>,
+    /// Batches that this daemon has to forward as a relay.
+    pending: RefCell<Held<News>>,
+    /// Whether a task is running that forwards the pending batches.
+    is_forwarding: Cell<bool>,
+    /// When a relay of the zone last forwarded a batch to this daemon.
+    last_relay_received: Cell<Option<Instant>>,
 }
 
 impl StateExchange {
-    /// Listens for the other daemons.
+    /// Binds the socket on which the other daemons are received.
     ///
     /// # Errors
-    /// [`StateExchangeError`] when the address can't be had.
+    /// [`StateExchangeError`] if the address can't be bound.
     pub async fn start(
         options: StateExchangeOptions,
         peers: Peers,
@@ -127,28 +126,29 @@
             .map_err(|cause| StateExchangeError { address, cause })?;
         Ok(Rc::new(Self {
             socket,
-            own: address,
+            own_address: address,
             relay_from_daemons: options.relay_from_daemons,
-            daemon: xxh3_64(options.instance.as_bytes()),
+            daemon_hash: xxh3_64(options.instance.as_bytes()),
             zone: options.zone,
             upstreams,
-            lives: RefCell::default(),
+            incarnations: RefCell::default(),
             published,
-            asked: RefCell::default(),
-            // No question of an earlier life has the number of one of this life.
-            next_nonce: Cell::new(xxh3_64(options.instance.as_bytes()) ^ peers.incarnation()),
+            pending_queries: RefCell::default(),
+            // The incarnation is mixed in, so that no query of an earlier incarnation has
+            // the nonce of a current one.
+            nonce_counter: Cell::new(xxh3_64(options.instance.as_bytes()) ^ peers.incarnation()),
             peers,
             next_sequence: Cell::new(1),
             sequences: RefCell::default(),
             paths: RefCell::default(),
-            held: RefCell::default(),
-            is_passing_on: Cell::default(),
-            relay_heard: Cell::default(),
+            pending: RefCell::default(),
+            is_forwarding: Cell::default(),
+            last_relay_received: Cell::default(),
         }))
     }
 
     async fn send_all(&self, message: Message, to: &[SocketAddr]) {
-        let datagram = Datagram::write(self.teller(), message);
+        let datagram = Datagram::encode(self.own_origin(), message);
         for address in to {
             self.send(datagram.clone(), *address).await;
         }
@@ -160,36 +160,36 @@
         sequence
     }
 
-    /// Whom to tell, as of a moment ago.
+    /// The broadcast paths, recomputed when they are too old.
     fn paths(&self) -> Rc<Paths> {
         let mut paths = self.paths.borrow_mut();
         match paths.as_ref() {
-            Some((at, paths)) if at.elapsed() < PATHS_AGE => Rc::clone(paths),
+            Some((at, paths)) if at.elapsed() < PATHS_MAX_AGE => Rc::clone(paths),
             _ => {
-                let looked_up = Rc::new(self.look_up_paths());
-                let is_relayed = looked_up.is_relayed(self.relay_from_daemons);
+                let current = Rc::new(self.compute_paths());
+                let is_relayed = current.is_relayed(self.relay_from_daemons);
                 self.upstreams.set_news_delay(match is_relayed {
-                    true => TELLING_DELAY + WINDOW,
-                    false => TELLING_DELAY,
+                    true => DIRECT_DELIVERY_DELAY + WINDOW,
+                    false => DIRECT_DELIVERY_DELAY,
                 });
-                *paths = Some((Instant::now(), Rc::clone(&looked_up)));
-                looked_up
+                *paths = Some((Instant::now(), Rc::clone(&current)));
+                current
             }
         }
     }
 
-    fn look_up_paths(&self) -> Paths {
+    fn compute_paths(&self) -> Paths {
         let members = self.peers.members().into_iter();
         let own = self.peers.address();
         let neighbours: Vec<Neighbour> = members
             .filter(|member| member.state.answers() && member.address != own)
             .map(|member| Neighbour {
-                address: self.news_address(&member),
+                address: self.exchange_address(&member),
                 zone: member.availability_zone,
             })
             .collect();
         let addresses = |members: Vec<Member>| {
-            let addresses = members.iter().map(|member| self.news_address(member));
+            let addresses = members.iter().map(|member| self.exchange_address(member));
             addresses.collect()
         };
         let relays = |slice: usize| {
@@ -199,40 +199,40 @@
                 .map(|(zone, members)| (zone, addresses(members)))
                 .collect()
         };
-        Paths::new(self.own, &self.zone, &neighbours, relays)
+        Paths::new(self.own_address, &self.zone, &neighbours, relays)
     }
 
-    /// Where a member listens for news.
-    fn news_address(&self, member: &Member) -> SocketAddr {
-        SocketAddr::new(member.address.ip(), self.own.port())
+    /// Address on which a member receives datagrams.
+    fn exchange_address(&self, member: &Member) -> SocketAddr {
+        SocketAddr::new(member.address.ip(), self.own_address.port())
     }
 
     async fn send(&self, datagram: Vec<u8>, to: SocketAddr) {
         let sent = self.socket.send_to(datagram, to).await;
         if let Err(error) = sent.0 {
-            log::debug!("gateway: datagram to {to} failed: {error}");
+            log::debug!("gateway: sending a datagram to {to} failed: {error}");
         }
     }
 
-    /// Daemons of the own zone, this one included.
-    pub(crate) fn zone_daemons(&self) -> usize {
+    /// Number of daemons in the zone of this one, itself included.
+    pub(crate) fn zone_daemon_count(&self) -> usize {
         self.paths().zone.len() + 1
     }
 
-    /// A number that differs each time and between daemons.
-    pub(crate) fn next_draw(&self) -> Nonce {
-        let nonce = self.next_nonce.get();
-        self.next_nonce.set(nonce.wrapping_add(1));
+    /// A number that differs between calls and between daemons.
+    pub(crate) fn next_nonce(&self) -> Nonce {
+        let nonce = self.nonce_counter.get();
+        self.nonce_counter.set(nonce.wrapping_add(1));
         nonce
     }
 
-    /// A number below `count`, which is not zero, drawn anew each time.
+    /// A pseudorandom number below `count`, which must not be zero.
     fn draw_below(&self, count: usize) -> usize {
-        let drawn = xxh3_64(&self.next_draw().to_le_bytes());
+        let drawn = xxh3_64(&self.next_nonce().to_le_bytes());
         (drawn % count as u64) as usize
     }
 
-    /// Hears what the others tell, for ever.
+    /// Receives and handles datagrams, forever.
     pub async fn receive(self: Rc<Self>) {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         loop {
@@ -242,106 +242,111 @@
             match received.0 {
                 Ok((length, from)) => {
                     let bytes = buffer.get(..length).unwrap_or_default();
-                    let from = SocketAddr::new(from.ip(), self.own.port());
-                    self.take(bytes, from).await;
+                    let from = SocketAddr::new(from.ip(), self.own_address.port());
+                    self.handle_datagram(bytes, from).await;
                 }
                 Err(error) => {
-                    log::debug!("gateway: news could not be read: {error}");
-                    compio::time::sleep(FAILURE_PAUSE).await;
+                    log::debug!("gateway: receiving a datagram failed: {error}");
+                    compio::time::sleep(RECEIVE_RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Tells a daemon that has just started, or was out of reach, of all that has
-    /// not ended.
-    async fn introduce(&self, to: SocketAddr) {
-        for part in parts(self.upstreams.introduction()) {
-            self.send(self.datagram(Message::Introduction(part)), to)
+    /// Sends all unfinished requests to a daemon that has just started or was unreachable.
+    async fn send_load_snapshot(&self, to: SocketAddr) {
+        for part in split_into_datagrams(self.upstreams.introduction()) {
+            self.send(self.datagram(Message::LoadSnapshot(part)), to)
                 .await;
         }
     }
 
-    /// Takes in a datagram.
-    async fn take(self: &Rc<Self>, bytes: &[u8], from: SocketAddr) {
-        let Some(Datagram { sender, message }) = Datagram::read(bytes) else {
-            log::debug!("gateway: a datagram of {} bytes can't be read", bytes.len());
+    /// Handles one datagram.
+    async fn handle_datagram(self: &Rc<Self>, bytes: &[u8], from: SocketAddr) {
+        let Some(Datagram { sender, message }) = Datagram::decode(bytes) else {
+            log::debug!(
+                "gateway: datagram of {} bytes could not be decoded",
+                bytes.len()
+            );
             return;
         };
-        if !self.meet(&sender, from).await {
+        if !self.record_sender(&sender, from).await {
             return;
         }
         match message {
-            Message::News(sequence, news) => {
-                let telling = Telling {
+            Message::LoadUpdates(sequence, news) => {
+                let batch = Telling {
                     teller: sender,
                     sequence,
                     news,
                 };
-                self.take_telling(&telling).await;
+                self.apply_batch(&batch).await;
             }
-            Message::PassOn(scope, tellings) => {
+            Message::Forward(scope, batches) => {
                 let paths = self.paths();
-                for telling in tellings {
-                    let rank = paths.rank_or_last(telling.teller.daemon);
-                    if self.take_telling(&telling).await {
-                        self.hold(telling, scope, rank);
+                for batch in batches {
+                    let rank = paths.rank_or_last(batch.teller.daemon);
+                    if self.apply_batch(&batch).await {
+                        self.enqueue(batch, scope, rank);
                     }
                 }
             }
-            Message::PassedOn(tellings) => {
-                self.relay_heard.set(Some(Instant::now()));
-                let names = tellings.iter();
-                let names = names.map(|telling| (telling.teller.life(), telling.sequence));
-                self.held.borrow_mut().passed_on(names);
-                for telling in &tellings {
-                    self.take_telling(telling).await;
+            Message::Forwarded(batches) => {
+                self.last_relay_received.set(Some(Instant::now()));
+                let ids = batches.iter();
+                let ids = ids.map(|batch| (batch.teller.life(), batch.sequence));
+                self.pending.borrow_mut().passed_on(ids);
+                for batch in &batches {
+                    self.apply_batch(batch).await;
                 }
             }
-            Message::Introduction(news) => self.take_news(sender.life(), news, from).await,
-            Message::Introduce => self.introduce(from).await,
-            Message::Ask(nonce, after) => {
-                if let Some(known) = self.published.confirmation() {
+            Message::LoadSnapshot(updates) => {
+                self.apply_updates(sender.life(), updates, from).await
+            }
+            Message::RequestLoadSnapshot => self.send_load_snapshot(from).await,
+            Message::Query(nonce, after) => {
+                if let Some(confirmation) = self.published.confirmation() {
                     let upstreams = self.published.changes_after(after);
-                    let answer = self.datagram(Message::Confirmed(nonce, known, upstreams));
-                    self.send(answer, from).await;
+                    let reply = self.datagram(Message::Reply(nonce, confirmation, upstreams));
+                    self.send(reply, from).await;
                 }
             }
-            Message::Confirmed(nonce, known, upstreams) => {
-                if let Some(asker) = self.asked.borrow().get(&nonce) {
-                    // Whoever asked may have given up waiting.
-                    let _ = asker.unbounded_send(Answer {
+            Message::Reply(nonce, confirmation, upstreams) => {
+                if let Some(sender) = self.pending_queries.borrow().get(&nonce) {
+                    // The query may have ended already.
+                    let _ = sender.unbounded_send(RawReply {
                         from,
-                        known,
+                        confirmation,
                         upstreams,
                     });
                 }
             }
-            Message::Changed(relayed) => self.published.take_relayed(relayed, &sender),
+            Message::PublishedChanges(relayed) => self.published.apply_relayed(relayed, &sender),
         }
     }
 
-    async fn take_news(&self, life: Life, news: Vec<News>, from: SocketAddr) {
+    async fn apply_updates(&self, incarnation: Life, updates: Vec<News>, from: SocketAddr) {
         let mut has_unknown = false;
-        for one in news {
-            has_unknown |= self.upstreams.hear(life, one);
+        for update in updates {
+            has_unknown |= self.upstreams.hear(incarnation, update);
         }
         if has_unknown {
-            self.send(self.datagram(Message::Introduce), from).await;
+            self.send(self.datagram(Message::RequestLoadSnapshot), from)
+                .await;
         }
     }
 
-    /// This daemon, as it names itself.
-    fn teller(&self) -> Teller {
+    /// This daemon and its incarnation, as the origin of a message.
+    fn own_origin(&self) -> Teller {
         Teller {
-            daemon: self.daemon,
+            daemon: self.daemon_hash,
             incarnation: self.peers.incarnation(),
-            address: self.own.ip(),
+            address: self.own_address.ip(),
             zone: self.zone.clone(),
         }
     }
 
     fn datagram(&self, message: Message) -> Vec<u8> {
-        Datagram::write(self.teller(), message)
+        Datagram::encode(self.own_origin(), message)
     }
 }
--- a/crates/gateway/src/state_exchange/incarnations.rs
+++ b/crates/gateway/src/state_exchange/incarnations.rs
@@ -1,4 +1,4 @@
-//! Lives of the other daemons: the work of one ends with it.
+//! Incarnations of the other daemons; when one ends, the requests it reported end with it.
 
 use std::net::SocketAddr;
 
@@ -8,62 +8,62 @@
 
 use super::StateExchange;
 
-/// Which life of a daemon something is of.
+/// Relation of a message's incarnation to the one that is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Known {
+enum IncarnationStatus {
     New,
-    Before,
+    Current,
     Ended,
 }
 
 impl StateExchange {
-    /// Forgets the work of a daemon that is gone.
+    /// Forgets the requests of a daemon that has left the fleet.
     pub fn remove_daemon(&self, instance: &InstanceId) {
         let daemon = xxh3_64(instance.as_bytes());
-        if let Some(incarnation) = self.lives.borrow_mut().remove(&daemon) {
-            self.forget(daemon, incarnation);
+        if let Some(incarnation) = self.incarnations.borrow_mut().remove(&daemon) {
+            self.forget_incarnation(daemon, incarnation);
         }
     }
 
-    /// Forgets a life that has ended, and its work.
-    fn forget(&self, daemon: u64, incarnation: Incarnation) {
-        let life = life_of(daemon, incarnation);
-        self.upstreams.forget(life);
-        self.sequences.borrow_mut().forget(life);
+    /// Forgets an incarnation that has ended, and its requests.
+    fn forget_incarnation(&self, daemon: u64, incarnation: Incarnation) {
+        let id = life_of(daemon, incarnation);
+        self.upstreams.forget(id);
+        self.sequences.borrow_mut().forget(id);
     }
 
-    /// Notes that a daemon at `from` lives; false if this life of it has ended, or it
-    /// is this one.
-    pub(super) async fn meet(&self, other: &Teller, from: SocketAddr) -> bool {
-        if other.daemon == self.daemon {
+    /// Records the sender of a message, which was received from `from`; returns false if
+    /// its incarnation has ended or it is this daemon itself.
+    pub(super) async fn record_sender(&self, other: &Teller, from: SocketAddr) -> bool {
+        if other.daemon == self.daemon_hash {
             return false;
         }
-        let known = self.know(other);
-        if known == Known::Ended {
+        let status = self.record_incarnation(other);
+        if status == IncarnationStatus::Ended {
             return false;
         }
         self.upstreams.heard_zone(&other.zone);
-        if known == Known::New {
-            self.introduce(from).await;
+        if status == IncarnationStatus::New {
+            self.send_load_snapshot(from).await;
         }
         true
     }
 
-    /// Whether this life of a daemon is known; work of an earlier one ended with it
-    /// and is forgotten.
-    fn know(&self, other: &Teller) -> Known {
-        let mut lives = self.lives.borrow_mut();
-        let before = lives.get(&other.daemon).copied();
+    /// Records an incarnation of a daemon. The requests of an earlier incarnation ended
+    /// with it and are forgotten.
+    fn record_incarnation(&self, other: &Teller) -> IncarnationStatus {
+        let mut incarnations = self.incarnations.borrow_mut();
+        let before = incarnations.get(&other.daemon).copied();
         if before.is_some_and(|before| before > other.incarnation) {
-            return Known::Ended;
+            return IncarnationStatus::Ended;
         }
         if before == Some(other.incarnation) {
-            return Known::Before;
+            return IncarnationStatus::Current;
         }
-        lives.insert(other.daemon, other.incarnation);
+        incarnations.insert(other.daemon, other.incarnation);
         if let Some(before) = before {
-            self.forget(other.daemon, before);
+            self.forget_incarnation(other.daemon, before);
         }
-        Known::New
+        IncarnationStatus::New
     }
 }
--- a/crates/gateway/src/state_exchange/queries.rs
+++ b/crates/gateway/src/state_exchange/queries.rs
@@ -1,4 +1,4 @@
-//! Who watches what is published for a zone, and what daemons ask each other of it.
+//! Selection of the watchers of a zone, and queries about the published values.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,167 +10,171 @@
 use mangofront_settings::ids::{AvailabilityZone, InstanceId};
 
 use super::StateExchange;
-use crate::copies::Wanted;
+use crate::copies::CopyRequest;
 use crate::datagram::{Confirmation, Message, Nonce, Relayed, UpstreamChanges};
 use crate::dialect::Position;
 
-/// Duty of watching what is published for a zone.
+/// Duty of watching the published values for a zone.
 const WATCH_DUTY: &str = "watch-published";
 
-/// Daemons of a zone that watch; two, so that one may fail.
+/// Watchers of each zone; two, so that one may fail.
 const WATCHERS: usize = 2;
 
-/// Other daemons of the own zone that are asked where no watcher is in touch.
-const ZONE_ASKED: usize = 2;
+/// Other daemons of the own zone that are queried if no watcher is in touch with the
+/// source.
+const ZONE_QUERIED: usize = 2;
 
-/// Other zones of which a watcher and another daemon are asked where none of the own zone
-/// is in touch.
-const ZONES_ASKED: usize = 3;
+/// Other zones of which a watcher and another daemon are queried if no watcher of the own
+/// zone is in touch with the source.
+const ZONES_QUERIED: usize = 3;
 
-/// Time for another daemon to hand over a part of a copy: some packets through a narrow
-/// link, and a turn of a busy processor for each of the others that ask at the same moment.
+/// Time for another daemon to send a part of a copy: some packets over a slow link, and a
+/// scheduling delay on a busy CPU for each daemon that requests one at the same moment.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Whom a daemon asks.
+/// The daemons that a query goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Circle {
-    /// Those of its zone that watch.
+pub(crate) enum QueryGroup {
+    /// The watchers of the own zone.
     Watchers,
-    /// Others of its zone, and watchers of other zones, drawn anew each time.
+    /// Other daemons of the own zone, and watchers and other daemons of other zones, drawn
+    /// anew for each query.
     Fleet,
 }
 
-/// An answer to a question.
+/// A reply to a query.
 #[derive(Debug)]
-pub(crate) struct Told {
+pub(crate) struct Reply {
     pub(crate) from: SocketAddr,
     pub(crate) instance: InstanceId,
-    pub(crate) known: Confirmation,
+    pub(crate) confirmation: Confirmation,
     pub(crate) upstreams: Option<UpstreamChanges>,
 }
 
-/// An answer as it came.
+/// A reply before it is matched with the instance that sent it.
 #[derive(Debug)]
-pub(super) struct Answer {
+pub(super) struct RawReply {
     pub(super) from: SocketAddr,
-    pub(super) known: Confirmation,
+    pub(super) confirmation: Confirmation,
     pub(super) upstreams: Option<UpstreamChanges>,
 }
 
-/// Answers to one question, as they come.
-pub(crate) struct Answers<'a> {
-    sharing: &'a StateExchange,
+/// The replies to one query.
+pub(crate) struct Replies<'a> {
+    exchange: &'a StateExchange,
     nonce: Nonce,
-    asked: Vec<(SocketAddr, InstanceId)>,
-    answers: UnboundedReceiver<Answer>,
+    queried: Vec<(SocketAddr, InstanceId)>,
+    replies: UnboundedReceiver<RawReply>,
 }
 
-impl Answers<'_> {
-    /// The next answer, if one comes within `time` and more are awaited.
-    pub(crate) async fn next(&mut self, time: Duration) -> Option<Told> {
+impl Replies<'_> {
+    /// The next reply; `None` if none arrives within `time` or no more are expected.
+    pub(crate) async fn next(&mut self, time: Duration) -> Option<Reply> {
         let until = Instant::now() + time;
-        while !self.asked.is_empty() {
+        while !self.queried.is_empty() {
             let left = until.saturating_duration_since(Instant::now());
-            let answer = compio::time::timeout(left, self.answers.next()).await;
-            let answer = answer.ok()??;
-            let is_asked = |(address, _): &(SocketAddr, InstanceId)| *address == answer.from;
-            let Some(place) = self.asked.iter().position(is_asked) else {
-                // It has answered already.
+            let reply = compio::time::timeout(left, self.replies.next()).await;
+            let reply = reply.ok()??;
+            let is_queried = |(address, _): &(SocketAddr, InstanceId)| *address == reply.from;
+            let Some(index) = self.queried.iter().position(is_queried) else {
+                // A duplicate: this daemon has already replied.
                 continue;
             };
-            let (from, instance) = self.asked.swap_remove(place);
-            return Some(Told {
+            let (from, instance) = self.queried.swap_remove(index);
+            return Some(Reply {
                 from,
                 instance,
-                known: answer.known,
-                upstreams: answer.upstreams,
+                confirmation: reply.confirmation,
+                upstreams: reply.upstreams,
             });
         }
         None
     }
 }
 
-impl Drop for Answers<'_> {
+impl Drop for Replies<'_> {
     fn drop(&mut self) {
-        self.sharing.asked.borrow_mut().remove(&self.nonce);
+        self.exchange
+            .pending_queries
+            .borrow_mut()
+            .remove(&self.nonce);
     }
 }
 
 impl StateExchange {
-    /// Whether this daemon is one of those that watch what is published for
-    /// their zone.
+    /// Whether this daemon is a watcher of its zone.
     pub(crate) fn is_watcher(&self) -> bool {
         self.peers.is_delegate(WATCH_DUTY, WATCHERS)
     }
 
-    /// Asks other daemons how far they know what is published, and for the changes of
-    /// upstreams after a position.
-    pub(crate) async fn ask(&self, circle: Circle, after: Option<Position>) -> Answers<'_> {
-        let nonce = self.next_draw();
-        let members = match circle {
-            Circle::Watchers => self.peers.delegates(WATCH_DUTY, WATCHERS),
-            Circle::Fleet => self.draw_informants(),
+    /// Queries other daemons for their confirmation, and for the changes of upstreams after
+    /// a position.
+    pub(crate) async fn query(&self, group: QueryGroup, after: Option<Position>) -> Replies<'_> {
+        let nonce = self.next_nonce();
+        let members = match group {
+            QueryGroup::Watchers => self.peers.delegates(WATCH_DUTY, WATCHERS),
+            QueryGroup::Fleet => self.draw_fleet_group(),
         };
         let own = self.peers.address();
         let others = members.into_iter().filter(|member| member.address != own);
-        let asked: Vec<(SocketAddr, InstanceId)> = others
-            .map(|member| (self.news_address(&member), member.instance))
+        let queried: Vec<(SocketAddr, InstanceId)> = others
+            .map(|member| (self.exchange_address(&member), member.instance))
             .collect();
-        let (answer, answers) = unbounded();
-        self.asked.borrow_mut().insert(nonce, answer);
-        let question = self.datagram(Message::Ask(nonce, after));
-        for (address, _) in &asked {
-            self.send(question.clone(), *address).await;
+        let (sender, replies) = unbounded();
+        self.pending_queries.borrow_mut().insert(nonce, sender);
+        let query = self.datagram(Message::Query(nonce, after));
+        for (address, _) in &queried {
+            self.send(query.clone(), *address).await;
         }
-        Answers {
-            sharing: self,
+        Replies {
+            exchange: self,
             nonce,
-            asked,
-            answers,
+            queried,
+            replies,
         }
     }
 
-    /// Daemons that may be in touch where those that watch for this zone are not.
-    fn draw_informants(&self) -> Vec<Member> {
+    /// Daemons that may be in touch with the source if the watchers of this zone are not.
+    fn draw_fleet_group(&self) -> Vec<Member> {
         let mut by_zone = self.peers.delegates_of_zones(WATCH_DUTY, usize::MAX);
-        let mut own = by_zone.remove(&self.zone).unwrap_or_default();
+        let mut own_zone = by_zone.remove(&self.zone).unwrap_or_default();
         let own_address = self.peers.address();
-        own.retain(|member| member.address != own_address);
-        let mut informants = self.draw(own.into_iter().skip(WATCHERS).collect(), ZONE_ASKED);
+        own_zone.retain(|member| member.address != own_address);
+        let mut group = self.draw(own_zone.into_iter().skip(WATCHERS).collect(), ZONE_QUERIED);
         let zones: Vec<(AvailabilityZone, Vec<Member>)> = by_zone.into_iter().collect();
-        for (_, mut members) in self.draw(zones, ZONES_ASKED) {
+        for (_, mut members) in self.draw(zones, ZONES_QUERIED) {
             let others = members.split_off(WATCHERS.min(members.len()));
-            informants.extend(self.draw(members, 1));
-            informants.extend(self.draw(others, 1));
+            group.extend(self.draw(members, 1));
+            group.extend(self.draw(others, 1));
         }
-        informants
+        group
     }
 
-    /// Some of `items`, drawn.
+    /// Draws up to `count` of `items`.
     fn draw<T>(&self, mut items: Vec<T>, count: usize) -> Vec<T> {
         let mut drawn = Vec::with_capacity(count);
         while drawn.len() < count && !items.is_empty() {
-            let place = self.draw_below(items.len());
-            drawn.push(items.swap_remove(place));
+            let index = self.draw_below(items.len());
+            drawn.push(items.swap_remove(index));
         }
         drawn
     }
 
-    /// Has another daemon hand over a part of a copy of what it has in force.
+    /// Requests a part of a copy from another daemon.
     pub(crate) async fn fetch(
         &self,
         from: &InstanceId,
-        wanted: Wanted,
+        request: CopyRequest,
     ) -> Result<Bytes, CallError> {
-        let request = wanted.write();
+        let bytes = request.encode();
         self.peers
-            .call(from, Service::Platform, request, FETCH_TIMEOUT)
+            .call(from, Service::Platform, bytes, FETCH_TIMEOUT)
             .await
     }
 
-    /// Tells the daemons of the zone what has changed.
-    pub(crate) async fn tell_changed(&self, relayed: Relayed) {
-        let datagram = self.datagram(Message::Changed(relayed));
+    /// Sends changes of published values to the other daemons of the zone.
+    pub(crate) async fn relay_changes(&self, relayed: Relayed) {
+        let datagram = self.datagram(Message::PublishedChanges(relayed));
         for address in &self.paths().zone {
             self.send(datagram.clone(), *address).await;
         }
--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -1,9 +1,8 @@
 //! Structured log lines of the gateway's decisions.
 //!
-//! Each line is one decision or change of belief, with what decided it as
-//! typed fields. A calm request costs two lines: where it was placed, which is
-//! what remains of it when its daemon is killed, and its end, which carries the
-//! steps it went through.
+//! Each line records one decision or state change, with its inputs as typed fields. A
+//! request without failures writes two lines: its placement, which is all that is left of
+//! it if its daemon is killed, and its summary.
 
 use std::time::Duration;
 
@@ -21,7 +20,7 @@
 use crate::published::Published;
 use crate::refusal::Refusal;
 
-/// A dependency answers no more.
+/// A dependency stopped answering.
 pub(crate) fn dependency_lost(name: &str, reason: &str) {
     log::warn!(dependency = name, reason = reason; "gateway: dependency lost");
 }
@@ -47,7 +46,7 @@
     );
 }
 
-/// An upstream was registered or changed, which others have known for `late`.
+/// An upstream was registered or changed, which other daemons have known for `late`.
 pub(crate) fn upstream_published(upstream: &Upstream, late: Duration, provenance: &Provenance) {
     log::info!(
         upstream = upstream.id.as_str(),
@@ -63,7 +62,7 @@
     );
 }
 
-/// An upstream has started again under its id; what it did before is lost.
+/// An upstream started again under the same id; its earlier requests are lost.
 pub(crate) fn upstream_restarted(upstream: &Upstream) {
     log::info!(
         upstream = upstream.id.as_str(),
@@ -73,8 +72,8 @@
     );
 }
 
-/// A registration was written by an earlier life than the one that is known.
-pub(crate) fn earlier_life(upstream: &Upstream) {
+/// A registration was ignored, as an earlier incarnation of the upstream wrote it.
+pub(crate) fn earlier_incarnation(upstream: &Upstream) {
     log::info!(
         upstream = upstream.id.as_str(),
         started_at_ms = upstream.started_at_ms;
@@ -82,7 +81,7 @@
     );
 }
 
-/// A registration that names no upstream to use.
+/// A registration names no usable upstream.
 pub(crate) fn unusable_registration(id: &str, reason: &str, provenance: &Provenance) {
     log::warn!(
         upstream = id,
@@ -94,8 +93,8 @@
     );
 }
 
-/// An upstream is no longer used, as its registration is gone, which others have known
-/// for `late`.
+/// An upstream is no longer in use since its registration is gone, which other daemons have
+/// known for `late`.
 pub(crate) fn upstream_gone(id: &UpstreamId, late: Duration, provenance: &Provenance) {
     log::info!(
         upstream = id.as_str(),
@@ -109,7 +108,7 @@
 }
 
 /// A registration is missing that may only have lapsed; its upstream stays in use.
-pub(crate) fn removal_put_off(id: &UpstreamId, time: Duration, provenance: &Provenance) {
+pub(crate) fn removal_deferred(id: &UpstreamId, time: Duration, provenance: &Provenance) {
     log::info!(
         upstream = id.as_str(),
         kept_ms = milliseconds(time),
@@ -121,34 +120,35 @@
     );
 }
 
-/// An upstream that was kept is no longer used, as the source was there all the while.
-pub(crate) fn keeping_ended(id: &UpstreamId) {
+/// The grace period of an upstream ended early, as the source was available all the time.
+pub(crate) fn grace_ended(id: &UpstreamId) {
     log::info!(upstream = id.as_str(); "gateway: upstream gone, its registration had not lapsed");
 }
 
-/// A copy of what is in force could not be had from another daemon.
+/// A copy of the values in force could not be fetched from another daemon.
 pub(crate) fn copy_failed(from: &InstanceId, reason: &str) {
     log::info!(from = from.as_str(), reason = reason; "gateway: copy not handed over");
 }
 
-/// Nobody who is in touch with the source answers, or somebody does again.
+/// Queries began to fail, as no daemon that replies is in touch with the source, or succeed
+/// again.
 pub(crate) fn confirmed_by_others(is_confirmed: bool) {
     log::info!(is_confirmed = is_confirmed; "gateway: confirmation by other daemons");
 }
 
-/// An answer with changes is so large that it may lack later ones.
-pub(crate) fn changes_may_be_cut(position: Position) {
+/// An answer with changes is so large that later ones may be missing.
+pub(crate) fn changes_may_be_truncated(position: Position) {
     log::info!(position = position; "gateway: changes may be cut, everything is read");
 }
 
-/// A published value can't be read; the one before it stays in force.
+/// A published value can't be decoded; the one before it stays in force.
 pub(crate) fn malformed(name: &str, reason: &str) {
     log::warn!(name = name, reason = reason; "gateway: published value refused");
 }
 
-/// A request goes to the upstreams that were chosen for it.
+/// A request is about to be sent to the upstreams selected for it.
 pub(crate) fn placed(call: &Call, history: &History, placed: &Placed, published: &Published) {
-    let known = published.confirmation();
+    let confirmation = published.confirmation();
     let ids: Vec<&str> = placed
         .readers
         .iter()
@@ -168,13 +168,13 @@
         daemons_heard = placed.daemons_heard,
         oldest_news_ms = milliseconds(placed.oldest_news),
         configuration_version = call.version,
-        position = known.map(|known| known.upstreams_position),
-        position_age_ms = known.map(|known| known.age_ms);
+        position = confirmation.map(|confirmation| confirmation.upstreams_position),
+        position_age_ms = confirmation.map(|confirmation| confirmation.age_ms);
         "gateway: request placed"
     );
 }
 
-/// An upstream failed a request, or answered that it had not run it.
+/// An upstream failed a request, or reported that it did not run it.
 pub(crate) fn attempt_failed(call: &Call, upstream: &Upstream, outcome: &str, reason: &str) {
     log::info!(
         request = call.id.as_str(),
@@ -187,8 +187,8 @@
     );
 }
 
-/// An upstream crashed while it ran a request.
-pub(crate) fn crashed_under(
+/// An upstream crashed while running a request.
+pub(crate) fn upstream_crashed_under(
     request: &str,
     fingerprint: Fingerprint,
     upstream: &Upstream,
@@ -206,8 +206,8 @@
     );
 }
 
-/// A request is tried once more after upstreams crashed under it.
-pub(crate) fn tried_again(call: &Call) {
+/// A request is tried once after its quarantine.
+pub(crate) fn trial_started(call: &Call) {
     log::info!(
         request = call.id.as_str(),
         fingerprint = call.fingerprint.to_string().as_str();
@@ -215,14 +215,14 @@
     );
 }
 
-/// A request is no longer held to be at fault for crashes.
-pub(crate) fn cleared(fingerprint: Fingerprint, reason: &str) {
+/// A request is no longer considered the cause of crashes.
+pub(crate) fn request_cleared(fingerprint: Fingerprint, reason: &str) {
     log::info!(fingerprint = fingerprint.to_string().as_str(), reason = reason;
         "gateway: request cleared of crashes");
 }
 
 /// An upstream gets no requests for a while.
-pub(crate) fn upstream_left_out(upstream: &str, failure: Failure, time: Duration, cause: &str) {
+pub(crate) fn upstream_ejected(upstream: &str, failure: Failure, time: Duration, cause: &str) {
     log::info!(
         upstream = upstream,
         failure = failure.name(),
@@ -232,18 +232,18 @@
     );
 }
 
-/// Another zone can be reached no more, or again.
+/// Another availability zone became unreachable, or reachable again.
 pub(crate) fn zone_changed(zone: &str, is_reachable: bool) {
     log::info!(dependency = zone, reachable = is_reachable; "gateway: zone reachability changed");
 }
 
-/// A second send that the budget of the fleet did not allow.
-pub(crate) fn second_send_refused(request: &str, service: &str, daemons: usize) {
+/// The retry budget did not allow a retry.
+pub(crate) fn retry_refused(request: &str, service: &str, daemons: usize) {
     log::info!(request = request, service = service, daemons = daemons;
         "gateway: second send not allowed by the budget");
 }
 
-/// A request that was refused before its route was known.
+/// A request was refused before it was placed.
 pub(crate) fn refused(request: &str, path: &str, peer: &str, refusal: &Refusal, lease: &Lease) {
     log::info!(
         request = request,
@@ -256,11 +256,11 @@
     );
 }
 
-/// How a request ended, with what decided it.
+/// Summary of a request that has ended.
 ///
-/// What went wrong on the way has lines of its own.
+/// Failures on the way have lines of their own.
 #[derive(Debug)]
-pub(crate) struct Ended<'a> {
+pub(crate) struct RequestSummary<'a> {
     pub(crate) request: &'a str,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) route: &'a str,
@@ -270,14 +270,14 @@
     pub(crate) status: u16,
     pub(crate) upstream: &'a str,
     pub(crate) attempts: u32,
-    /// Engines that read the prompt.
-    pub(crate) readers: usize,
+    /// Engines that prefilled the prompt.
+    pub(crate) engines: usize,
     pub(crate) prompt_tokens: u64,
-    /// Time to the first event, or to the whole answer, that is aimed at.
+    /// Target for the time to the first event, or to the complete answer.
     pub(crate) target: Duration,
-    /// Time for which the request waited for engines with less to do.
+    /// Time for which the request waited for less loaded engines.
     pub(crate) waited: Duration,
-    /// Time to the first event, as predicted when it was placed.
+    /// Time to the first event, as predicted at placement.
     pub(crate) expected: Duration,
     pub(crate) first_event: Option<Duration>,
     pub(crate) longest_pause: Duration,
@@ -286,8 +286,8 @@
     pub(crate) lease_age: Option<Duration>,
 }
 
-impl Ended<'_> {
-    /// What the caller got.
+impl RequestSummary<'_> {
+    /// What the caller received.
     fn disposition(&self) -> Disposition {
         let is_refused_for_load = self.reason == NoUpstream::Overrun.code();
         match self.outcome {
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Writes the line and counts the request.
+    /// Writes the log line and updates the metrics.
     pub(crate) fn write(&self, metrics: &Metrics) {
         metrics.request_ended(self.route, self.outcome);
         metrics.request_took(self.route, self.outcome, self.took);
@@ -328,7 +328,7 @@
             status = self.status,
             upstream = self.upstream,
             attempts = self.attempts,
-            readers = self.readers,
+            readers = self.engines,
             prompt_tokens = self.prompt_tokens,
             target_ms = milliseconds(self.target),
             waited_ms = milliseconds(self.waited),
--- a/crates/gateway/src/zones.rs
+++ b/crates/gateway/src/zones.rs
@@ -1,10 +1,10 @@
-//! Tries zones of which nothing has come for a while.
+//! Probes availability zones from which nothing has been received for a while.
 //!
-//! A zone that is cut off costs each request that is sent there, or reads a part
-//! of its prompt there, a timeout. While requests run and daemons talk, each zone
-//! shows all the time that it can be reached; one that falls quiet is tried by
-//! opening a connection to one of its upstreams. That costs the upstream something,
-//! so it is done only while this daemon has requests to place.
+//! Each request that is sent to an unreachable zone, or has a part of its prompt prefilled
+//! there, costs a timeout. While requests run and daemons exchange state, every zone
+//! continually proves to be reachable; a quiet one is probed by opening a connection to one
+//! of its upstreams. A probe costs the upstream something, so zones are probed only while
+//! this daemon has requests to place.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -17,41 +17,41 @@
 
 use crate::trace;
 
-/// Silence after which a zone is tried.
-const QUIET_AFTER: Duration = Duration::from_millis(500);
+/// Silence after which a zone is probed.
+const PROBE_AFTER_QUIET: Duration = Duration::from_millis(500);
 
-/// Time between two looks for quiet zones.
-const LOOK_PERIOD: Duration = Duration::from_millis(250);
+/// Time between two checks for quiet zones.
+const CHECK_PERIOD: Duration = Duration::from_millis(250);
 
-/// Time since its last request for which a daemon counts as in use.
+/// Time since its last request for which a daemon counts as active.
 ///
-/// Of 14 s in which 195 daemons awaited their first request, trying zones made 14,000
-/// connections, as many as the requests of the 17 s after that.
-const IN_USE_FOR: Duration = Duration::from_secs(2);
+/// Without this condition 195 daemons that waited 14 s for their first request opened
+/// 14,000 connections for probes, as many as for the requests of the following 17 s.
+const ACTIVE_WINDOW: Duration = Duration::from_secs(2);
 
-/// Time for a connection to another zone: many round trips.
+/// Time to open a connection to another zone: many round trips.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Tries quiet zones, for ever.
-pub(crate) async fn watch(upstreams: Upstreams, connections: Connections) {
+/// Probes quiet zones, forever.
+pub(crate) async fn probe_quiet_zones(upstreams: Upstreams, connections: Connections) {
     let mut silent = BTreeSet::new();
     loop {
-        compio::time::sleep(LOOK_PERIOD).await;
+        compio::time::sleep(CHECK_PERIOD).await;
         let now_silent: BTreeSet<AvailabilityZone> = upstreams.silent_zones().into_iter().collect();
         for zone in now_silent.symmetric_difference(&silent) {
             trace::zone_changed(zone, silent.contains(zone));
         }
         silent = now_silent;
-        if !upstreams.placed_within(IN_USE_FOR) {
+        if !upstreams.placed_within(ACTIVE_WINDOW) {
             continue;
         }
-        for upstream in upstreams.quiet_zones(QUIET_AFTER) {
-            spawn(try_one(upstream, upstreams.clone(), connections.clone())).detach();
+        for upstream in upstreams.quiet_zones(PROBE_AFTER_QUIET) {
+            spawn(probe(upstream, upstreams.clone(), connections.clone())).detach();
         }
     }
 }
 
-async fn try_one(upstream: Upstream, upstreams: Upstreams, connections: Connections) {
+async fn probe(upstream: Upstream, upstreams: Upstreams, connections: Connections) {
     let target = Target {
         instance: upstream.id.clone(),
         address: upstream.address,
@@ -60,9 +60,9 @@
         .open(&target, Instant::now() + CONNECT_TIMEOUT)
         .await;
     match opened {
-        Ok(_opened) => upstreams.heard_from(key_of(&upstream)),
+        Ok(_connection) => upstreams.heard_from(key_of(&upstream)),
         Err(error) => log::debug!(
-            "gateway: zone {} can't be reached: {error}",
+            "gateway: probe of zone {} failed: {error}",
             upstream.availability_zone
         ),
     }
--- a/crates/gateway/tests/changes.rs
+++ b/crates/gateway/tests/changes.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of changes of upstreams.
+//! Pages in which daemons send each other changes of upstreams.
 
 use std::collections::BTreeSet;
 
@@ -16,22 +16,23 @@
     }
 }
 
-/// Guards against a departure that is passed over for good: a daemon that knew a later
-/// change and not the ones before it told others that it was the only one.
+/// Guards against a departure that is lost for good: a daemon that knew a later change but
+/// not the ones before it sent a page that claimed to be complete up to that change.
 #[test]
-fn changes_beyond_what_is_known_are_told_and_vouch_for_nothing() {
-    let told = UpstreamChanges::pages(38, 38, vec![gone(46), gone(53)]);
+fn changes_beyond_the_known_position_do_not_extend_a_page() {
+    let pages = UpstreamChanges::pages(38, 38, vec![gone(46), gone(53)]);
     let expected = UpstreamChanges {
         after: 38,
         up_to: 38,
         changes: vec![gone(46), gone(53)],
     };
-    assert_eq!(told, [expected]);
+    assert_eq!(pages, [expected]);
 }
 
-/// Guards against pages that together vouch for more or for less than their teller knows.
+/// Guards against pages that together claim to be complete up to less or more than their
+/// sender knows.
 #[test]
-fn pages_follow_on_each_other_up_to_what_is_known() {
+fn pages_are_contiguous_up_to_the_known_position() {
     fn property(after: u16, known: u16, positions: BTreeSet<u16>) -> bool {
         let (after, positions) = (Position::from(after), positions.into_iter());
         let up_to = after + Position::from(known);
@@ -42,15 +43,15 @@
         let pages = UpstreamChanges::pages(after, up_to, changes);
         let mut from = after;
         for page in &pages {
-            // What a page vouches for is told by then.
-            let is_told = page.changes.iter().all(|change| change.position() > from);
-            if page.after != from || page.up_to < from || !is_told {
+            // No change may lie in the range that earlier pages claim to cover completely.
+            let is_new = page.changes.iter().all(|change| change.position() > from);
+            if page.after != from || page.up_to < from || !is_new {
                 return false;
             }
             from = page.up_to;
         }
-        let told: usize = pages.iter().map(|page| page.changes.len()).sum();
-        from == up_to && told == count
+        let total: usize = pages.iter().map(|page| page.changes.len()).sum();
+        from == up_to && total == count
     }
     QuickCheck::new()
         .tests(500)
--- a/crates/gateway/tests/fleet/daemon.rs
+++ b/crates/gateway/tests/fleet/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon as far as it follows what is published, on a loopback address of its own.
+//! One daemon, reduced to following the published values, on its own loopback address.
 
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
@@ -22,24 +22,24 @@
 use mangofront_upstream::{Connections, ConnectionsOptions};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Availability zones of a fleet.
+/// Availability zones of the fleet.
 pub const ZONES: usize = 3;
 
 /// Daemons of each zone.
 pub const ZONE_DAEMONS: usize = 9;
 
-/// Daemons of a fleet.
+/// Daemons of the fleet.
 pub const DAEMONS: usize = ZONES * ZONE_DAEMONS;
 
-/// Bound on a key that was taken back.
+/// Longest time for which a revoked key may be accepted.
 const KEY_LEASE: Duration = Duration::from_secs(5);
 
-/// Bound on the time within which a change is acted on.
+/// Time within which a change must take effect.
 pub const CHANGE_BOUND: Duration = Duration::from_secs(3);
 
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(200);
 
-/// Silence after which a member is suspected; a stall of the test process is shorter.
+/// Silence after which a member is suspected; longer than a stall of the test process.
 const SUSPECT_AFTER: Duration = Duration::from_secs(4);
 
 const NEWS_BYTES_PER_S: u32 = 20_000;
@@ -48,17 +48,16 @@
 
 const PEER_PORT: u16 = 8229;
 
-const NEWS_PORT: u16 = 7340;
+const EXCHANGE_PORT: u16 = 7340;
 
-/// Daemons from which on news is relayed.
+/// Number of daemons from which load updates go through relays.
 const RELAY_FROM_DAEMONS: usize = 100;
 
 static FLEETS: AtomicU8 = AtomicU8::new(0);
 
-/// A daemon's place in the fleet.
-pub type Place = usize;
+/// Index of a daemon in the fleet.
+pub type DaemonIndex = usize;
 
-/// A running daemon.
 #[derive(Debug)]
 pub struct Daemon {
     pub upstreams: Upstreams,
@@ -67,15 +66,15 @@
     _background: Vec<JoinHandle<()>>,
 }
 
-/// What a daemon has in force: the configuration's version, and each upstream with
-/// whether it leaves.
+/// The values that a daemon has in force: the version of the configuration, and each
+/// upstream with whether it is draining.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct View {
     pub version: Option<u64>,
     pub upstreams: BTreeMap<String, bool>,
 }
 
-/// Addresses of one fleet.
+/// Loopback addresses of one fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Network {
     network: u8,
@@ -83,25 +82,25 @@
 }
 
 impl Network {
-    /// A network that nobody else on this machine uses.
+    /// A network that no other fleet on this machine uses.
     pub fn free() -> Self {
         Self {
-            network: network(),
+            network: reserve_network(),
             fleet: FLEETS.fetch_add(1, Ordering::Relaxed),
         }
     }
 
-    fn ip(self, place: Place) -> IpAddr {
-        let last = u8::try_from(place + 1).expect("a fleet fits into a network");
+    fn ip(self, index: DaemonIndex) -> IpAddr {
+        let last = u8::try_from(index + 1).expect("a fleet fits into a network");
         Ipv4Addr::new(127, self.network, self.fleet, last).into()
     }
 
-    fn peer(self, place: Place) -> ListedPeer {
+    fn peer(self, index: DaemonIndex) -> ListedPeer {
         ListedPeer {
-            instance: name(place),
+            instance: name(index),
             region: REGION.to_owned(),
-            availability_zone: zone(place),
-            address: SocketAddr::new(self.ip(place), PEER_PORT),
+            availability_zone: zone(index),
+            address: SocketAddr::new(self.ip(index), PEER_PORT),
             leaving: false,
         }
     }
@@ -109,34 +108,34 @@
 
 impl Daemon {
     /// Starts a daemon that follows `source`.
-    pub async fn start(network: Network, place: Place, source: Rc<dyn Source>) -> Self {
-        let (tell, told) = mpsc::unbounded();
-        let salt = xxh3_64(name(place).as_bytes());
-        let upstreams = Upstreams::new(ChoiceOptions::default(), zone(place), salt, tell);
+    pub async fn start(network: Network, index: DaemonIndex, source: Rc<dyn Source>) -> Self {
+        let (updates, queue) = mpsc::unbounded();
+        let salt = xxh3_64(name(index).as_bytes());
+        let upstreams = Upstreams::new(ChoiceOptions::default(), zone(index), salt, updates);
         let published = Published::new(
             PublishedOptions::for_bounds(KEY_LEASE, CHANGE_BOUND),
             upstreams.clone(),
             connections(),
         );
-        let sharing_cell: Rc<OnceCell<Rc<StateExchange>>> = Rc::default();
-        let peers = start_peers(network, place, &published, &sharing_cell);
+        let exchange_cell: Rc<OnceCell<Rc<StateExchange>>> = Rc::default();
+        let peers = start_peers(network, index, &published, &exchange_cell);
         let options = StateExchangeOptions {
-            address: SocketAddr::new(network.ip(place), NEWS_PORT),
-            instance: name(place),
-            zone: zone(place),
+            address: SocketAddr::new(network.ip(index), EXCHANGE_PORT),
+            instance: name(index),
+            zone: zone(index),
             relay_from_daemons: RELAY_FROM_DAEMONS,
         };
-        let sharing =
+        let exchange =
             StateExchange::start(options, peers.clone(), upstreams.clone(), published.clone())
                 .await;
-        let sharing = sharing.expect("the address is free");
-        // Set once, right here.
-        let _ = sharing_cell.set(Rc::clone(&sharing));
+        let exchange = exchange.expect("the address is free");
+        // The cell is set only here.
+        let _ = exchange_cell.set(Rc::clone(&exchange));
         let background = vec![
-            spawn(published.clone().follow(source, Rc::clone(&sharing))),
-            spawn(Rc::clone(&sharing).broadcast(told)),
-            spawn(Rc::clone(&sharing).rebroadcast_running()),
-            spawn(sharing.receive()),
+            spawn(published.clone().follow(source, Rc::clone(&exchange))),
+            spawn(Rc::clone(&exchange).broadcast(queue)),
+            spawn(Rc::clone(&exchange).rebroadcast_running()),
+            spawn(exchange.receive()),
         ];
         Self {
             upstreams,
@@ -146,12 +145,12 @@
         }
     }
 
-    /// Whether it would choose an upstream.
+    /// Whether the daemon would select an upstream.
     pub fn takes_work(&self, upstream: UpstreamKey) -> bool {
         self.upstreams.takes_work(upstream)
     }
 
-    /// Whether it sees the whole fleet alive.
+    /// Whether the daemon sees all members of the fleet alive.
     pub fn sees_all(&self) -> bool {
         let members = self.peers.members();
         let alive = members
@@ -170,39 +169,39 @@
         }
     }
 
-    /// Ends its membership and frees its address.
+    /// Stops the membership and frees the address.
     pub fn stop(&self) {
         self.peers.stop();
     }
 }
 
 /// Name of a daemon.
-pub fn name(place: Place) -> String {
-    format!("{}-{}", zone(place), place / ZONES)
+pub fn name(index: DaemonIndex) -> String {
+    format!("{}-{}", zone(index), index / ZONES)
 }
 
-/// Zone of a daemon.
-pub fn zone(place: Place) -> String {
-    ["hall-a", "hall-b", "hall-c"][place % ZONES].to_owned()
+/// Availability zone of a daemon.
+pub fn zone(index: DaemonIndex) -> String {
+    ["hall-a", "hall-b", "hall-c"][index % ZONES].to_owned()
 }
 
 fn start_peers(
     network: Network,
-    place: Place,
+    index: DaemonIndex,
     published: &Published,
-    sharing: &Rc<OnceCell<Rc<StateExchange>>>,
+    exchange: &Rc<OnceCell<Rc<StateExchange>>>,
 ) -> Peers {
-    let listen = SocketAddr::new(network.ip(place), PEER_PORT);
-    let options = PeersOptions::builder(name(place), REGION, zone(place), listen)
+    let listen = SocketAddr::new(network.ip(index), PEER_PORT);
+    let options = PeersOptions::builder(name(index), REGION, zone(index), listen)
         .heartbeat_period(HEARTBEAT_PERIOD)
         .suspect_after(SUSPECT_AFTER)
         .news_bytes_per_s(NEWS_BYTES_PER_S)
         .build();
-    let sharing = Rc::clone(sharing);
+    let exchange = Rc::clone(exchange);
     let on_change = Rc::new(move |change: MemberChange| {
         let member = &change.member;
-        if let Some(sharing) = sharing.get().filter(|_| !member.state.answers()) {
-            sharing.remove_daemon(&member.instance);
+        if let Some(exchange) = exchange.get().filter(|_| !member.state.answers()) {
+            exchange.remove_daemon(&member.instance);
         }
     });
     let published = published.clone();
@@ -214,7 +213,7 @@
         async move { answer }.boxed_local()
     });
     let peers = Peers::start(options, on_change, responder).expect("the address is free");
-    let others = (0..DAEMONS).filter(|other| *other != place);
+    let others = (0..DAEMONS).filter(|other| *other != index);
     let listed: Vec<ListedPeer> = others.map(|other| network.peer(other)).collect();
     peers.set_listed(&listed);
     peers
@@ -228,13 +227,15 @@
     })
 }
 
-/// A loopback network that no other process of tests holds.
-fn network() -> u8 {
-    static HELD: OnceLock<(u8, TcpListener)> = OnceLock::new();
-    let (network, _listener) = HELD.get_or_init(|| {
+/// A loopback network that no other test process uses.
+fn reserve_network() -> u8 {
+    static RESERVED: OnceLock<(u8, TcpListener)> = OnceLock::new();
+    let (network, _listener) = RESERVED.get_or_init(|| {
         let take = |network: u8| {
-            let address = SocketAddr::from(([127, network, 255, 1], NEWS_PORT));
-            TcpListener::bind(address).ok().map(|held| (network, held))
+            let address = SocketAddr::from(([127, network, 255, 1], EXCHANGE_PORT));
+            TcpListener::bind(address)
+                .ok()
+                .map(|listener| (network, listener))
         };
         (40..240).find_map(take).expect("a network is free")
     });
--- a/crates/gateway/tests/fleet/main.rs
+++ b/crates/gateway/tests/fleet/main.rs
@@ -1,6 +1,6 @@
-//! A fleet in one process that follows a scripted store.
+//! Fleets in one process that follow a scripted store.
 //!
-//! Each daemon has its own membership and datagrams on a loopback address of its own.
+//! Each daemon has its own membership and socket on its own loopback address.
 //! `MANGOFRONT_FLEET_SEEDS` sets the seeds, as a range or a list: `1..40` or `3,17`.
 
 mod daemon;
@@ -13,14 +13,15 @@
 use crate::run::play;
 use crate::script::{Family, Script};
 
-/// Guards against work sent on to an upstream that has left, by daemons that the store
-/// turns away while it serves others.
+/// Guards against requests to an upstream that has left, sent by daemons that the store
+/// rejects while it serves others.
 #[test]
 fn daemons_that_are_turned_away_learn_of_departures_in_time() {
     check(Family::TurnedAway, &[1, 2]);
 }
 
-/// Guards against daemons that ask in vain, again and again, where one of all is in touch.
+/// Guards against daemons whose queries keep missing the only daemon that is in touch with
+/// the store.
 #[test]
 fn daemons_learn_of_departures_in_time_from_the_only_one_that_is_served() {
     check(Family::OneServed, &[1, 2]);
@@ -32,14 +33,14 @@
     check(Family::Narrow, &[1, 2]);
 }
 
-/// Guards against an outage of the store that ends the use of live upstreams, or keeps
-/// those that do not return.
+/// Guards against an outage of the store that takes live upstreams out of use, or keeps
+/// those that do not register again.
 #[test]
 fn an_outage_keeps_the_upstreams_that_return() {
     check(Family::Outage, &[1, 2, 3]);
 }
 
-/// Plays a run for each seed.
+/// Plays the script of each seed.
 fn check(family: Family, seeds: &[u64]) {
     let mut failed = Vec::new();
     for seed in set_seeds().unwrap_or_else(|| seeds.to_vec()) {
@@ -53,7 +54,7 @@
     assert!(failed.is_empty(), "{family:?} failed with seeds {failed:?}");
 }
 
-/// Seeds that the environment sets.
+/// The seeds that the environment sets.
 fn set_seeds() -> Option<Vec<u64>> {
     let set = std::env::var("MANGOFRONT_FLEET_SEEDS").ok()?;
     let number = |text: &str| text.trim().parse::<u64>().expect("a seed is a number");
--- a/crates/gateway/tests/fleet/run.rs
+++ b/crates/gateway/tests/fleet/run.rs
@@ -1,4 +1,4 @@
-//! One run of a fleet, and what is measured in it.
+//! Plays a script with a fleet and measures the result.
 
 use std::fmt;
 use std::rc::Rc;
@@ -9,20 +9,20 @@
 use mangofront_gateway::Source;
 use mangofront_routes::Upstream;
 
-use crate::daemon::{CHANGE_BOUND, DAEMONS, Daemon, Network, Place, View, name};
+use crate::daemon::{CHANGE_BOUND, DAEMONS, Daemon, DaemonIndex, Network, View, name};
 use crate::script::{
-    Departure, Expected, Number, SMALL_ROUTES, Script, Step, UPSTREAMS, table, upstream,
+    Departure, Expected, SMALL_ROUTES, Script, Step, UPSTREAMS, UpstreamNumber, table, upstream,
 };
-use crate::store::{Line, Store};
+use crate::store::{Link, Store};
 
-/// Time between two looks at all views.
+/// Time between two checks of all daemons.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// Time for the fleet to meet and to know all that is published.
+/// Time for the daemons to find each other and learn all published values.
 const START_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Faults that a report names one by one.
-const NAMED_FAULTS: usize = 12;
+/// Faults that a report lists.
+const LISTED_FAULTS: usize = 12;
 
 /// A running fleet.
 struct Fleet {
@@ -30,21 +30,21 @@
     daemons: Vec<Daemon>,
 }
 
-/// Lateness of one daemon with one departure.
+/// Time that one daemon took to learn of one departure.
 #[derive(Debug, Clone, Copy)]
-struct Learning {
-    place: Place,
-    number: Number,
+struct DepartureLag {
+    index: DaemonIndex,
+    number: UpstreamNumber,
     lateness: Duration,
     departure: Departure,
 }
 
-/// What was seen in a run.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Report {
     title: String,
-    learnings: Vec<Learning>,
-    /// Longest time by which a look at the views was late.
+    lags: Vec<DepartureLag>,
+    /// Longest delay of a check.
     loop_lag: Duration,
     calls: u64,
     /// Time from the end of the script until all views were equal.
@@ -52,58 +52,65 @@
     pub faults: Vec<String>,
 }
 
-/// What is watched of one upstream.
+/// Observations of one upstream.
 #[derive(Debug)]
-struct Watched {
-    number: Number,
+struct UpstreamObservation {
+    number: UpstreamNumber,
     key: UpstreamKey,
     expected: Expected,
-    /// By place, the last moment at which it took work there.
-    worked_at: Vec<Duration>,
-    /// By place, the first moment at which it took none.
-    idle_at: Vec<Option<Duration>>,
+    /// For each daemon, the last moment at which it would select the upstream.
+    last_selected_at: Vec<Duration>,
+    /// For each daemon, the first moment at which it would not.
+    first_unselected_at: Vec<Option<Duration>>,
 }
 
 /// Plays a script.
 pub async fn play(script: Script) -> Report {
     let fleet = Fleet::start(&script).await;
-    let mut watched: Vec<Watched> = script.expected.iter().map(Watched::new).collect();
+    let mut observations: Vec<UpstreamObservation> = script
+        .expected
+        .iter()
+        .map(UpstreamObservation::new)
+        .collect();
     let calls_before = fleet.store.calls();
     let started = fleet.store.start_script();
     let mut steps = script.steps.iter().peekable();
     let mut loop_lag = Duration::ZERO;
     while started.elapsed() < script.end {
         while let Some((_, step)) = steps.next_if(|step| step.0 <= started.elapsed()) {
-            fleet.carry_out(*step);
+            fleet.apply_step(*step);
         }
-        fleet.look(&mut watched, started);
-        loop_lag = loop_lag.max(sleep_late().await);
+        fleet.observe(&mut observations, started);
+        loop_lag = loop_lag.max(sleep_and_measure_delay().await);
     }
-    let settled_after = fleet.settle(&mut watched, started).await;
+    let settled_after = fleet.settle(&mut observations, started).await;
     let mut report = Report {
         title: script.title,
-        learnings: watched.iter().flat_map(Watched::learnings).collect(),
+        lags: observations
+            .iter()
+            .flat_map(UpstreamObservation::lags)
+            .collect(),
         loop_lag,
         calls: fleet.store.calls() - calls_before,
         settled_after,
         faults: Vec::new(),
     };
-    report.judge(&watched, &fleet);
+    report.collect_faults(&observations, &fleet);
     for daemon in &fleet.daemons {
         daemon.stop();
     }
     report
 }
 
-/// Sleeps until the next look; how much later it ended.
-async fn sleep_late() -> Duration {
+/// Sleeps until the next check; returns how late it woke up.
+async fn sleep_and_measure_delay() -> Duration {
     let until = Instant::now() + POLL_PERIOD;
     sleep(POLL_PERIOD).await;
     until.elapsed()
 }
 
 impl Fleet {
-    /// Starts all daemons and waits until each has met the others and knows all.
+    /// Starts all daemons and waits until each one sees the others and knows all values.
     async fn start(script: &Script) -> Self {
         let store: Rc<Store> = Rc::default();
         store.configure(table(1, SMALL_ROUTES));
@@ -112,11 +119,11 @@
         }
         let network = Network::free();
         let mut daemons = Vec::with_capacity(DAEMONS);
-        for (place, plan) in script.lines.iter().enumerate() {
+        for (index, plan) in script.links.iter().enumerate() {
             let store = Rc::clone(&store);
-            let line = Line::new(store, plan.bytes_per_s, plan.stretches.clone());
-            let source: Rc<dyn Source> = Rc::new(line);
-            daemons.push(Daemon::start(network, place, source).await);
+            let link = Link::new(store, plan.bytes_per_s, plan.phases.clone());
+            let source: Rc<dyn Source> = Rc::new(link);
+            daemons.push(Daemon::start(network, index, source).await);
         }
         let fleet = Self { store, daemons };
         fleet.wait_for_start().await;
@@ -131,7 +138,7 @@
         }
     }
 
-    fn carry_out(&self, step: Step) {
+    fn apply_step(&self, step: Step) {
         match step {
             Step::Configure { routes } => {
                 let version = self.store.version().unwrap_or_default() + 1;
@@ -147,20 +154,24 @@
         }
     }
 
-    /// Notes which upstreams take work at which daemon.
-    fn look(&self, watched: &mut [Watched], started: Instant) {
-        for one in watched {
-            for (place, daemon) in self.daemons.iter().enumerate() {
-                one.note(place, daemon.takes_work(one.key), started.elapsed());
+    /// Records which daemons would select which upstreams.
+    fn observe(&self, observations: &mut [UpstreamObservation], started: Instant) {
+        for observation in observations {
+            for (index, daemon) in self.daemons.iter().enumerate() {
+                observation.record(index, daemon.takes_work(observation.key), started.elapsed());
             }
         }
     }
 
-    /// Waits until all views are equal, and the bound at most.
-    async fn settle(&self, watched: &mut [Watched], started: Instant) -> Option<Duration> {
+    /// Waits until all views are equal, for at most the bound.
+    async fn settle(
+        &self,
+        observations: &mut [UpstreamObservation],
+        started: Instant,
+    ) -> Option<Duration> {
         let ended = Instant::now();
         while ended.elapsed() < CHANGE_BOUND {
-            self.look(watched, started);
+            self.observe(observations, started);
             if self.differing().is_empty() {
                 return Some(ended.elapsed());
             }
@@ -169,8 +180,8 @@
         None
     }
 
-    /// Daemons that have something else in force than what is published.
-    fn differing(&self) -> Vec<Place> {
+    /// Daemons whose values in force differ from the published ones.
+    fn differing(&self) -> Vec<DaemonIndex> {
         let upstreams = self.store.upstreams().into_iter();
         let published = View {
             version: self.store.version(),
@@ -178,51 +189,52 @@
                 .map(|upstream| (upstream.id, upstream.leaving))
                 .collect(),
         };
-        let differs = |place: &Place| self.daemons[*place].view() != published;
+        let differs = |index: &DaemonIndex| self.daemons[*index].view() != published;
         (0..DAEMONS).filter(differs).collect()
     }
 }
 
-impl Watched {
-    fn new((number, expected): &(Number, Expected)) -> Self {
+impl UpstreamObservation {
+    fn new((number, expected): &(UpstreamNumber, Expected)) -> Self {
         Self {
             number: *number,
             key: key_of(&upstream(*number)),
             expected: *expected,
-            worked_at: vec![Duration::ZERO; DAEMONS],
-            idle_at: vec![None; DAEMONS],
+            last_selected_at: vec![Duration::ZERO; DAEMONS],
+            first_unselected_at: vec![None; DAEMONS],
         }
     }
 
-    fn note(&mut self, place: Place, takes_work: bool, at: Duration) {
+    fn record(&mut self, index: DaemonIndex, takes_work: bool, at: Duration) {
         match takes_work {
-            true => self.worked_at[place] = at,
+            true => self.last_selected_at[index] = at,
             false => {
-                self.idle_at[place].get_or_insert(at);
+                self.first_unselected_at[index].get_or_insert(at);
             }
         }
     }
 
-    fn learnings(&self) -> Vec<Learning> {
+    fn lags(&self) -> Vec<DepartureLag> {
         let Expected::Left(departure) = self.expected else {
             return Vec::new();
         };
-        let learning = |(place, worked_at): (Place, &Duration)| Learning {
-            place,
+        let lag = |(index, last_selected_at): (DaemonIndex, &Duration)| DepartureLag {
+            index,
             number: self.number,
-            lateness: worked_at.saturating_sub(departure.at),
+            lateness: last_selected_at.saturating_sub(departure.at),
             departure,
         };
-        self.worked_at.iter().enumerate().map(learning).collect()
+        self.last_selected_at.iter().enumerate().map(lag).collect()
     }
 
-    /// Daemons that left out an upstream that was there all the time.
-    fn wrongly_idle(&self) -> Vec<(Place, Duration)> {
+    /// Daemons that stopped using an upstream although it was there all the time.
+    fn wrongly_unused(&self) -> Vec<(DaemonIndex, Duration)> {
         match self.expected {
             Expected::Left(_) => Vec::new(),
             Expected::Kept => {
-                let idle = self.idle_at.iter().enumerate();
-                idle.filter_map(|(place, at)| Some((place, (*at)?)))
+                let unused = self.first_unselected_at.iter().enumerate();
+                unused
+                    .filter_map(|(index, at)| Some((index, (*at)?)))
                     .collect()
             }
         }
@@ -230,30 +242,31 @@
 }
 
 impl Report {
-    /// Notes what broke a bound; of departures the latest ones first.
-    fn judge(&mut self, watched: &[Watched], fleet: &Fleet) {
+    /// Collects the violated bounds; departures are listed from the latest one on.
+    fn collect_faults(&mut self, observations: &[UpstreamObservation], fleet: &Fleet) {
         if self.settled_after.is_none() {
             let differing: Vec<String> = fleet.differing().into_iter().map(name).collect();
             let differing = differing.join(", ");
-            let fault = format!("out of step {CHANGE_BOUND:?} after all were served: {differing}");
+            let fault =
+                format!("values still differ {CHANGE_BOUND:?} after the script: {differing}");
             self.faults.push(fault);
         }
-        for one in watched {
-            let idle = one.wrongly_idle().into_iter();
-            self.faults.extend(idle.map(|(place, at)| {
-                let (daemon, number) = (name(place), one.number);
-                format!("{daemon} left out live upstream {number} at {at:.2?}")
+        for observation in observations {
+            let unused = observation.wrongly_unused().into_iter();
+            self.faults.extend(unused.map(|(index, at)| {
+                let (daemon, number) = (name(index), observation.number);
+                format!("{daemon} stopped using live upstream {number} at {at:.2?}")
             }));
         }
-        let mut late: Vec<&Learning> = self.learnings.iter().filter(|one| one.is_late()).collect();
-        late.sort_by_key(|learning| std::cmp::Reverse(learning.lateness));
+        let mut late: Vec<&DepartureLag> = self.lags.iter().filter(|lag| lag.is_late()).collect();
+        late.sort_by_key(|lag| std::cmp::Reverse(lag.lateness));
         self.faults
-            .extend(late.into_iter().map(Learning::to_string));
+            .extend(late.into_iter().map(DepartureLag::to_string));
     }
 
-    /// Lateness that a share of the learnings does not exceed.
+    /// Quantile of the lateness.
     fn quantile(&self, share: f64) -> Duration {
-        let mut sorted: Vec<Duration> = self.learnings.iter().map(|one| one.lateness).collect();
+        let mut sorted: Vec<Duration> = self.lags.iter().map(|lag| lag.lateness).collect();
         sorted.sort();
         let rank = (sorted.len() as f64 * share).ceil() as usize;
         let index = rank.clamp(1, sorted.len().max(1)) - 1;
@@ -261,21 +274,21 @@
     }
 }
 
-impl Learning {
+impl DepartureLag {
     fn is_late(&self) -> bool {
         self.lateness > self.departure.bound
     }
 }
 
-impl fmt::Display for Learning {
+impl fmt::Display for DepartureLag {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
             "{} used upstream {} for {:.2?} after its departure ({:?}, bound {:?})",
-            name(self.place),
+            name(self.index),
             self.number,
             self.lateness,
-            self.departure.farewell,
+            self.departure.kind,
             self.departure.bound
         )
     }
@@ -285,10 +298,10 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             formatter,
-            "{}: {} learnings, lateness p99 {:.2?}, largest {:.2?}; {} faults; \
+            "{}: {} departures observed, lateness p99 {:.2?}, largest {:.2?}; {} faults; \
              settled after {:.2?}; {} calls; event loop late by {:.0?} at most",
             self.title,
-            self.learnings.len(),
+            self.lags.len(),
             self.quantile(0.99),
             self.quantile(1.0),
             self.faults.len(),
@@ -296,7 +309,7 @@
             self.calls,
             self.loop_lag,
         )?;
-        for fault in self.faults.iter().take(NAMED_FAULTS) {
+        for fault in self.faults.iter().take(LISTED_FAULTS) {
             writeln!(formatter, "    {fault}")?;
         }
         Ok(())
--- a/crates/gateway/tests/fleet/script.rs
+++ b/crates/gateway/tests/fleet/script.rs
@@ -1,4 +1,4 @@
-//! What happens in one run, drawn from a seed.
+//! Script of one run, drawn from a seed.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -12,8 +12,8 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{RngExt, SeedableRng};
 
-use crate::daemon::{CHANGE_BOUND, DAEMONS, Place, ZONES};
-use crate::store::{Stretch, Way};
+use crate::daemon::{CHANGE_BOUND, DAEMONS, DaemonIndex, ZONES};
+use crate::store::{CallOutcome, Phase};
 
 /// Routes of a small configuration.
 pub const SMALL_ROUTES: usize = 40;
@@ -24,89 +24,90 @@
 /// Upstreams at the start.
 pub const UPSTREAMS: usize = 30;
 
-/// Daemons that the store serves throughout where it turns others away.
-const SOUND_DAEMONS: usize = 2;
+/// Daemons that the store serves throughout while it rejects others.
+const SERVED_DAEMONS: usize = 2;
 
-/// Speed of a usual link, in bytes per second.
+/// Usual bandwidth of a link, in bytes per second.
 const LINK_BYTES_PER_S: f64 = 2_500_000.0;
 
-/// Speeds of narrow links, in bytes per second.
+/// Bandwidths of slow links, in bytes per second.
 const NARROW_BYTES_PER_S: Range<f64> = 150_000.0..2_000_000.0;
 
 /// Bursts in which upstreams leave.
 const BURSTS: usize = 3;
 
-/// Beginning and end of the time in which upstreams leave, in milliseconds.
-const LEAVING_MS: Range<u64> = 1_500..4_000;
+/// Time range in which upstreams leave, in milliseconds.
+const DEPARTURES_MS: Range<u64> = 1_500..4_000;
 
-/// Time after the bound for which lateness is still watched.
-const WATCHED_AFTER: Duration = Duration::from_millis(300);
+/// Time after the bound for which lateness is still measured.
+const OBSERVED_AFTER: Duration = Duration::from_millis(300);
 
-/// Beginning and end of an outage of the store, in milliseconds.
+/// Time range of an outage of the store, in milliseconds.
 const OUTAGE_MS: Range<u64> = 1_000..4_000;
 
-/// Time from the store's return until live upstreams are registered again.
+/// Time from the store's recovery until live upstreams register again.
 const RETURN_DELAY: Duration = Duration::from_secs(1);
 
-/// Time from the store's return after which an upstream that has not returned is unused.
+/// Time from the store's recovery after which an upstream that did not register again must
+/// be out of use.
 const LAPSE_BOUND: Duration = Duration::from_millis(2_500);
 
-/// When the first life of every upstream started, in Unix milliseconds.
-const FIRST_LIFE_MS: u64 = 1_790_000_000_000;
+/// Start of the first incarnation of every upstream, in Unix milliseconds.
+const FIRST_INCARNATION_MS: u64 = 1_790_000_000_000;
 
 /// Number of an upstream in its run.
-pub type Number = usize;
+pub type UpstreamNumber = usize;
 
 /// Kinds of runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Family {
-    /// The store turns away some daemons and serves the others.
+    /// The store rejects some daemons and serves the others.
     TurnedAway,
-    /// The store turns away all daemons but one.
+    /// The store rejects all daemons but one.
     OneServed,
-    /// Links are narrow or late, and nobody is turned away.
+    /// Links are slow or answers late, and no daemon is rejected.
     Narrow,
     /// All calls fail for a while.
     Outage,
 }
 
-/// One step of the operators, the store or the upstreams.
+/// One action of an operator, the store or an upstream.
 #[derive(Debug, Clone, Copy)]
 pub enum Step {
     /// Publishes the next version of the configuration.
     Configure { routes: usize },
     /// Registers an upstream.
-    Register(Number),
-    /// An upstream says that it leaves.
-    Leave(Number),
-    /// A registration ends.
-    Remove(Number),
+    Register(UpstreamNumber),
+    /// An upstream announces its shutdown.
+    Leave(UpstreamNumber),
+    /// Removes a registration.
+    Remove(UpstreamNumber),
     /// The store drops its history.
     DropHistory,
 }
 
-/// One daemon's line.
+/// Properties of one daemon's link to the store.
 #[derive(Debug)]
-pub struct LinePlan {
+pub struct LinkPlan {
     pub bytes_per_s: f64,
-    pub stretches: Vec<Stretch>,
+    pub phases: Vec<Phase>,
 }
 
-/// How an upstream goes.
+/// How an upstream leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Farewell {
-    /// It says that it leaves.
+pub enum DepartureKind {
+    /// It announces its shutdown.
     Announced,
-    /// Its registration is removed without a word.
+    /// Its registration is removed without an announcement.
     Removed,
-    /// Its registration lapses while the store is away.
+    /// Its registration lapses during an outage of the store.
     Lapsed,
 }
 
-/// Use of an upstream that every daemon has to keep to.
+/// Expected use of an upstream by every daemon.
 #[derive(Debug, Clone, Copy)]
 pub enum Expected {
-    /// Used no more from the bound after its departure on.
+    /// Not used once the bound after its departure has passed.
     Left(Departure),
     /// Used all the time.
     Kept,
@@ -115,44 +116,44 @@
 /// The departure of an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Departure {
-    pub farewell: Farewell,
+    pub kind: DepartureKind,
     pub at: Duration,
-    /// Time after which no daemon uses it.
+    /// Time after which no daemon may use it.
     pub bound: Duration,
 }
 
-/// One run; times count from its start.
+/// Script of one run; times count from its start.
 #[derive(Debug)]
 pub struct Script {
-    /// What it is, for a report.
+    /// Description for the report.
     pub title: String,
-    /// Steps, in the order of their times.
+    /// The steps, ordered by time.
     pub steps: Vec<(Duration, Step)>,
-    pub lines: Vec<LinePlan>,
-    /// What is expected of upstreams that were there at the start.
-    pub expected: Vec<(Number, Expected)>,
-    /// When the store serves everyone again, and the script ends.
+    pub links: Vec<LinkPlan>,
+    /// Expectations for upstreams that were registered at the start.
+    pub expected: Vec<(UpstreamNumber, Expected)>,
+    /// When the store serves all daemons again and the script ends.
     pub end: Duration,
 }
 
-/// Which daemons are turned away.
+/// Which daemons the store rejects.
 #[derive(Debug, Clone, Copy)]
-enum Pattern {
+enum RejectionPattern {
     Zone,
     Scattered,
     AllButFew,
 }
 
-/// When a large configuration is published.
+/// When a large configuration is published, relative to the bursts.
 #[derive(Debug, Clone, Copy)]
-enum Moment {
+enum ConfigurationTiming {
     Before,
     Between,
     After,
 }
 
 impl Script {
-    /// Draws a run.
+    /// Draws the script of a seed.
     pub fn draw(family: Family, seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         match family {
@@ -165,12 +166,12 @@
 }
 
 /// An upstream as it registers itself.
-pub fn upstream(number: Number) -> Upstream {
+pub fn upstream(number: UpstreamNumber) -> Upstream {
     let service = ["assist-llm", "fleet-ops"][number % 2];
     let host = u8::try_from(number + 1).expect("a run has few upstreams");
     Upstream {
         id: format!("i-{number:03}"),
-        started_at_ms: FIRST_LIFE_MS,
+        started_at_ms: FIRST_INCARNATION_MS,
         service: service.to_owned(),
         address: SocketAddr::from(([10, 2, 64, host], 8168)),
         availability_zone: crate::daemon::zone(number % ZONES),
@@ -180,7 +181,7 @@
     }
 }
 
-/// A configuration of so many routes.
+/// A configuration with the given number of routes.
 pub fn table(version: u64, routes: usize) -> RouteTable {
     let service = |name: &str| Service {
         name: name.to_owned(),
@@ -220,12 +221,12 @@
 /// A run in which upstreams leave.
 fn departures(
     random: &mut StdRng,
-    draw_lines: fn(&mut StdRng, Duration) -> (String, Vec<LinePlan>),
+    draw_links: fn(&mut StdRng, Duration) -> (String, Vec<LinkPlan>),
 ) -> Script {
     let bursts = draw_bursts(random);
     let mut steps = Vec::new();
     let mut expected = Vec::new();
-    let mut numbers: Vec<Number> = (0..UPSTREAMS).collect();
+    let mut numbers: Vec<UpstreamNumber> = (0..UPSTREAMS).collect();
     numbers.shuffle(random);
     let mut next_new = UPSTREAMS;
     for burst in &bursts {
@@ -237,18 +238,18 @@
             next_new += 1;
         }
     }
-    let moment = draw_configurations(random, &bursts, &mut steps);
+    let timing = draw_configurations(random, &bursts, &mut steps);
     let last = bursts.last().copied().unwrap_or_default();
-    let end = last + CHANGE_BOUND + WATCHED_AFTER;
-    let (lines_title, lines) = draw_lines(random, end);
+    let end = last + CHANGE_BOUND + OBSERVED_AFTER;
+    let (links_title, links) = draw_links(random, end);
     steps.sort_by_key(|step| step.0);
     Script {
         title: format!(
-            "{lines_title}, {} leave, large configuration {moment:?}",
+            "{links_title}, {} leave, large configuration {timing:?}",
             expected.len()
         ),
         steps,
-        lines,
+        links,
         expected,
         end,
     }
@@ -257,51 +258,55 @@
 /// Times at which upstreams leave, in order.
 fn draw_bursts(random: &mut StdRng) -> Vec<Duration> {
     let mut bursts: Vec<Duration> = (0..BURSTS)
-        .map(|_| Duration::from_millis(random.random_range(LEAVING_MS)))
+        .map(|_| Duration::from_millis(random.random_range(DEPARTURES_MS)))
         .collect();
     bursts.sort();
     bursts
 }
 
-/// An upstream says that it leaves and goes later, or goes without a word.
+/// An upstream announces its shutdown and leaves later, or leaves without an announcement.
 fn leave(
     random: &mut StdRng,
-    number: Number,
+    number: UpstreamNumber,
     at: Duration,
     steps: &mut Vec<(Duration, Step)>,
 ) -> Departure {
-    let farewell = match random.random_bool(0.7) {
-        true => Farewell::Announced,
-        false => Farewell::Removed,
+    let kind = match random.random_bool(0.7) {
+        true => DepartureKind::Announced,
+        false => DepartureKind::Removed,
     };
-    let gone_at = match farewell {
-        Farewell::Announced => {
+    let gone_at = match kind {
+        DepartureKind::Announced => {
             steps.push((at, Step::Leave(number)));
             at + Duration::from_millis(random.random_range(1_500..3_000))
         }
-        Farewell::Removed | Farewell::Lapsed => at,
+        DepartureKind::Removed | DepartureKind::Lapsed => at,
     };
     steps.push((gone_at, Step::Remove(number)));
     Departure {
-        farewell,
+        kind,
         at,
         bound: CHANGE_BOUND,
     }
 }
 
-/// A large configuration, and at times another version soon after it.
+/// Publishes a large configuration, and in some runs another version soon after it.
 fn draw_configurations(
     random: &mut StdRng,
     bursts: &[Duration],
     steps: &mut Vec<(Duration, Step)>,
-) -> Moment {
-    let moments = [Moment::Before, Moment::Between, Moment::After];
-    let moment = *moments.choose(random).expect("there are moments");
+) -> ConfigurationTiming {
+    let timings = [
+        ConfigurationTiming::Before,
+        ConfigurationTiming::Between,
+        ConfigurationTiming::After,
+    ];
+    let timing = *timings.choose(random).expect("there are timings");
     let distance = Duration::from_millis(random.random_range(100..600));
-    let at = match moment {
-        Moment::Before => bursts[0] - distance,
-        Moment::Between => (bursts[0] + bursts[1]) / 2,
-        Moment::After => bursts[BURSTS - 1] + distance,
+    let at = match timing {
+        ConfigurationTiming::Before => bursts[0] - distance,
+        ConfigurationTiming::Between => (bursts[0] + bursts[1]) / 2,
+        ConfigurationTiming::After => bursts[BURSTS - 1] + distance,
     };
     let large = Step::Configure {
         routes: LARGE_ROUTES,
@@ -311,102 +316,106 @@
         let later = at + Duration::from_millis(random.random_range(200..1_000));
         steps.push((later, large));
     }
-    moment
+    timing
 }
 
-/// Lines of a fleet of which some daemons are turned away.
-fn draw_turned_away(random: &mut StdRng, end: Duration) -> (String, Vec<LinePlan>) {
-    let patterns = [Pattern::Zone, Pattern::Scattered, Pattern::AllButFew];
+/// Links of a fleet of which the store rejects some daemons.
+fn draw_turned_away(random: &mut StdRng, end: Duration) -> (String, Vec<LinkPlan>) {
+    let patterns = [
+        RejectionPattern::Zone,
+        RejectionPattern::Scattered,
+        RejectionPattern::AllButFew,
+    ];
     let pattern = *patterns.choose(random).expect("there are patterns");
     let zone = random.random_range(0..ZONES);
-    let mut places: Vec<Place> = (0..DAEMONS).collect();
-    places.shuffle(random);
-    let is_of_zone = |place: &Place| place % ZONES == zone;
+    let mut indices: Vec<DaemonIndex> = (0..DAEMONS).collect();
+    indices.shuffle(random);
+    let is_of_zone = |index: &DaemonIndex| index % ZONES == zone;
     match pattern {
-        Pattern::Zone => places.retain(|place| !is_of_zone(place)),
-        Pattern::Scattered | Pattern::AllButFew => {}
+        RejectionPattern::Zone => indices.retain(|index| !is_of_zone(index)),
+        RejectionPattern::Scattered | RejectionPattern::AllButFew => {}
     }
-    let sound: Vec<Place> = places.into_iter().take(SOUND_DAEMONS).collect();
-    let mut lines = Vec::new();
+    let served: Vec<DaemonIndex> = indices.into_iter().take(SERVED_DAEMONS).collect();
+    let mut links = Vec::new();
     let mut turned_away = 0;
-    for place in 0..DAEMONS {
+    for index in 0..DAEMONS {
         let share = match pattern {
-            Pattern::Zone if is_of_zone(&place) => 1.0,
-            Pattern::Zone => 0.2,
-            Pattern::Scattered => 0.35,
-            Pattern::AllButFew => 1.0,
+            RejectionPattern::Zone if is_of_zone(&index) => 1.0,
+            RejectionPattern::Zone => 0.2,
+            RejectionPattern::Scattered => 0.35,
+            RejectionPattern::AllButFew => 1.0,
         };
-        let is_turned_away = !sound.contains(&place) && random.random_bool(share);
+        let is_turned_away = !served.contains(&index) && random.random_bool(share);
         turned_away += usize::from(is_turned_away);
-        lines.push(draw_line(random, end, is_turned_away));
+        links.push(draw_link(random, end, is_turned_away));
     }
-    (format!("{turned_away} turned away ({pattern:?})"), lines)
+    (format!("{turned_away} turned away ({pattern:?})"), links)
 }
 
-/// Lines of a fleet of which all daemons but one are turned away.
-fn draw_one_served(random: &mut StdRng, end: Duration) -> (String, Vec<LinePlan>) {
+/// Links of a fleet of which the store rejects all daemons but one.
+fn draw_one_served(random: &mut StdRng, end: Duration) -> (String, Vec<LinkPlan>) {
     let served = random.random_range(0..DAEMONS);
-    let lines = (0..DAEMONS).map(|place| draw_line(random, end, place != served));
-    ("all turned away but one".to_owned(), lines.collect())
+    let links = (0..DAEMONS).map(|index| draw_link(random, end, index != served));
+    ("all turned away but one".to_owned(), links.collect())
 }
 
-/// The line of a daemon that is turned away for a while, or served throughout.
-fn draw_line(random: &mut StdRng, end: Duration, is_turned_away: bool) -> LinePlan {
-    let stretches = match is_turned_away {
-        true => vec![draw_stretch(random, end)],
+/// Link of a daemon that the store rejects for a while, or serves throughout.
+fn draw_link(random: &mut StdRng, end: Duration, is_turned_away: bool) -> LinkPlan {
+    let phases = match is_turned_away {
+        true => vec![draw_failing_phase(random, end)],
         false => Vec::new(),
     };
-    LinePlan {
+    LinkPlan {
         bytes_per_s: LINK_BYTES_PER_S,
-        stretches,
+        phases,
     }
 }
 
-/// A time in which one daemon's calls go badly.
-fn draw_stretch(random: &mut StdRng, end: Duration) -> Stretch {
+/// A period in which the calls of one daemon fail.
+fn draw_failing_phase(random: &mut StdRng, end: Duration) -> Phase {
     let from = Duration::from_millis(random.random_range(100..1_500));
     let length = Duration::from_millis(random.random_range(4_000..8_000));
-    Stretch {
+    Phase {
         from,
         until: (from + length).min(end),
-        way: draw_bad_way(random),
+        outcome: draw_failure(random),
     }
 }
 
-fn draw_bad_way(random: &mut StdRng) -> Way {
+fn draw_failure(random: &mut StdRng) -> CallOutcome {
     match random.random_range(0..4) {
-        0 => Way::Refused(StatusCode::SERVICE_UNAVAILABLE),
-        1 => Way::Refused(StatusCode::TOO_MANY_REQUESTS),
-        2 => Way::Failed,
-        _ => Way::Silent,
+        0 => CallOutcome::Refused(StatusCode::SERVICE_UNAVAILABLE),
+        1 => CallOutcome::Refused(StatusCode::TOO_MANY_REQUESTS),
+        2 => CallOutcome::Failed,
+        _ => CallOutcome::Silent,
     }
 }
 
-/// Lines of a fleet with narrow links, some of them late for a while.
-fn draw_narrow(random: &mut StdRng, end: Duration) -> (String, Vec<LinePlan>) {
-    let lines = (0..DAEMONS).map(|_| LinePlan {
+/// Links of a fleet with low bandwidth or late answers.
+fn draw_narrow(random: &mut StdRng, end: Duration) -> (String, Vec<LinkPlan>) {
+    let links = (0..DAEMONS).map(|_| LinkPlan {
         bytes_per_s: LINK_BYTES_PER_S,
-        stretches: vec![Stretch {
+        phases: vec![Phase {
             from: Duration::ZERO,
             until: end,
-            way: match random.random_bool(0.8) {
-                true => Way::Slow {
+            outcome: match random.random_bool(0.8) {
+                true => CallOutcome::Slow {
                     bytes_per_s: random.random_range(NARROW_BYTES_PER_S),
                 },
-                false => Way::Late {
+                false => CallOutcome::Late {
                     delay_ms: random.random_range(50..650),
                 },
             },
         }],
     });
-    ("narrow links".to_owned(), lines.collect())
+    ("narrow links".to_owned(), links.collect())
 }
 
-/// A run in which the store is away for everyone.
+/// A run in which the store is unavailable to every daemon.
 fn outage(random: &mut StdRng) -> Script {
     let from = Duration::from_millis(OUTAGE_MS.start);
     let until = Duration::from_millis(OUTAGE_MS.end);
-    let mut numbers: Vec<Number> = (0..UPSTREAMS).collect();
+    let mut numbers: Vec<UpstreamNumber> = (0..UPSTREAMS).collect();
     numbers.shuffle(random);
     let (lapsing, lasting) = numbers.split_at(10);
     let (returning, gone) = lapsing.split_at(6);
@@ -424,37 +433,37 @@
     }
     steps.sort_by_key(|step| step.0);
     let kept = lasting.iter().chain(returning);
-    let mut expected: Vec<(Number, Expected)> =
+    let mut expected: Vec<(UpstreamNumber, Expected)> =
         kept.map(|number| (*number, Expected::Kept)).collect();
     let lapsed = Expected::Left(Departure {
-        farewell: Farewell::Lapsed,
+        kind: DepartureKind::Lapsed,
         at: until,
         bound: LAPSE_BOUND,
     });
     expected.extend(gone.iter().map(|number| (*number, lapsed)));
     let is_uniform = random.random_bool(0.5);
-    let way = draw_bad_way(random);
-    let mut line = |_| LinePlan {
+    let outcome = draw_failure(random);
+    let mut link = |_| LinkPlan {
         bytes_per_s: LINK_BYTES_PER_S,
-        stretches: vec![Stretch {
+        phases: vec![Phase {
             from,
             until,
-            way: match is_uniform {
-                true => way,
-                false => draw_bad_way(random),
+            outcome: match is_uniform {
+                true => outcome,
+                false => draw_failure(random),
             },
         }],
     };
-    let lines = (0..DAEMONS).map(&mut line).collect();
-    let ways = match is_uniform {
-        true => format!("{way:?}"),
+    let links = (0..DAEMONS).map(&mut link).collect();
+    let outcomes = match is_uniform {
+        true => format!("{outcome:?}"),
         false => "drawn for each daemon".to_owned(),
     };
     Script {
-        title: format!("outage, calls: {ways}, history kept: {has_history}"),
+        title: format!("outage, calls: {outcomes}, history kept: {has_history}"),
         steps,
-        lines,
+        links,
         expected,
-        end: until + LAPSE_BOUND + WATCHED_AFTER,
+        end: until + LAPSE_BOUND + OBSERVED_AFTER,
     }
 }
--- a/crates/gateway/tests/fleet/store.rs
+++ b/crates/gateway/tests/fleet/store.rs
@@ -1,4 +1,4 @@
-//! A store of published values in memory, and the line of each daemon to it.
+//! An in-memory store of published values, and each daemon's link to it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 use mangofront_gateway::{Change, Changes, Entry, Position, Snapshot, Source, SourceError};
 use mangofront_routes::{RouteTable, Upstream, UpstreamId};
 
-/// Time for a call and its answer to cross the network.
+/// Round-trip time of a call.
 const ROUND_TRIP: Duration = Duration::from_millis(2);
 
 /// Size of a route in a configuration, in bytes.
@@ -25,32 +25,32 @@
 /// Size of an answer without values, in bytes.
 const EMPTY_ANSWER_BYTES: usize = 100;
 
-/// Bytes of values from which an answer to a watch may have been cut.
-const CUT_FROM_BYTES: usize = 512 * 1024;
+/// Size of an answer to a watch call, in bytes, from which it may be truncated.
+const TRUNCATED_FROM_BYTES: usize = 512 * 1024;
 
-/// How the calls of one daemon go.
+/// Outcome of the calls of one daemon.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Way {
-    /// Answered at once.
+pub enum CallOutcome {
+    /// Answered immediately.
     Served,
-    /// Refused at once with a status.
+    /// Refused immediately with a status.
     Refused(StatusCode),
-    /// The connection breaks at once.
+    /// The connection breaks immediately.
     Failed,
-    /// Never answered within its timeout.
+    /// Not answered within the timeout.
     Silent,
-    /// Answered through a link of this speed.
+    /// Answered with this bandwidth.
     Slow { bytes_per_s: f64 },
-    /// Answered this much later.
+    /// Answered with this delay.
     Late { delay_ms: u64 },
 }
 
-/// A way that holds for a while, in time since the start of the script.
+/// A period in which calls have a given outcome, in time since the start of the script.
 #[derive(Debug, Clone, Copy)]
-pub struct Stretch {
+pub struct Phase {
     pub from: Duration,
     pub until: Duration,
-    pub way: Way,
+    pub outcome: CallOutcome,
 }
 
 /// One change in the history.
@@ -61,28 +61,28 @@
     Gone(UpstreamId),
 }
 
-/// All that is published.
+/// All published values.
 #[derive(Debug, Default)]
 pub struct Store {
     history: RefCell<Vec<(Position, Event)>>,
     position: Cell<Position>,
-    /// Changes up to it are no longer kept.
+    /// Changes up to this position are no longer kept.
     dropped_up_to: Cell<Position>,
     table: RefCell<Option<Rc<RouteTable>>>,
     upstreams: RefCell<BTreeMap<UpstreamId, Upstream>>,
     waiting: RefCell<Vec<oneshot::Sender<()>>>,
-    /// When the script began.
+    /// When the script started.
     started: Cell<Option<Instant>>,
     calls: Cell<u64>,
 }
 
-/// One daemon's line to the store.
+/// One daemon's link to the store.
 #[derive(Debug)]
-pub struct Line {
+pub struct Link {
     store: Rc<Store>,
-    /// Speed of the link, in bytes per second, where no stretch sets another.
+    /// Bandwidth of the link, in bytes per second, unless a phase sets another one.
     bytes_per_s: f64,
-    stretches: Vec<Stretch>,
+    phases: Vec<Phase>,
 }
 
 impl Event {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The change as a source tells it.
+    /// The change in the form in which a source reports it.
     fn change(&self, position: Position) -> Change {
         match self {
             Self::Configured(table) => {
@@ -110,14 +110,14 @@
 }
 
 impl Store {
-    /// Begins the script; the stretches of all lines count from now on.
+    /// Starts the script; the phases of all links count from now on.
     pub fn start_script(&self) -> Instant {
         let now = Instant::now();
         self.started.set(Some(now));
         now
     }
 
-    /// Calls so far, of all daemons.
+    /// Number of calls so far, of all daemons.
     pub fn calls(&self) -> u64 {
         self.calls.get()
     }
@@ -139,7 +139,7 @@
         self.write(Event::Registered(written));
     }
 
-    /// Takes back a registration.
+    /// Removes a registration.
     pub fn remove(&self, id: &UpstreamId) {
         if self.upstreams.borrow_mut().remove(id).is_some() {
             self.write(Event::Gone(id.clone()));
@@ -156,7 +156,7 @@
         self.table.borrow().as_ref().map(|table| table.version())
     }
 
-    /// Registrations as they are now.
+    /// The current registrations.
     pub fn upstreams(&self) -> Vec<Upstream> {
         self.upstreams.borrow().values().cloned().collect()
     }
@@ -165,21 +165,21 @@
         let position = self.position.get() + 1;
         self.position.set(position);
         self.history.borrow_mut().push((position, event));
-        for waiting in self.waiting.take() {
-            // Its call may have ended.
-            let _ = waiting.send(());
+        for sender in self.waiting.take() {
+            // The call may have ended.
+            let _ = sender.send(());
         }
     }
 
-    /// Waits for a change after a position until a moment.
+    /// Waits for a change after a position, until `until` at most.
     async fn wait_for_change(&self, after: Position, until: Instant) {
         if self.position.get() > after {
             return;
         }
-        let (wake, woken) = oneshot::channel();
-        self.waiting.borrow_mut().push(wake);
-        // Both a change and the end of the time lead to an answer.
-        let _ = timeout_at(until, woken).await;
+        let (sender, receiver) = oneshot::channel();
+        self.waiting.borrow_mut().push(sender);
+        // A change and a timeout have the same effect.
+        let _ = timeout_at(until, receiver).await;
     }
 
     /// Changes after a position, and their size in bytes.
@@ -188,17 +188,18 @@
             return Err(SourceError::HistoryGone);
         }
         let history = self.history.borrow();
-        let later: Vec<&(Position, Event)> = history.iter().filter(|one| one.0 > after).collect();
-        let size_bytes: usize = later.iter().map(|one| one.1.size_bytes()).sum();
+        let later: Vec<&(Position, Event)> =
+            history.iter().filter(|entry| entry.0 > after).collect();
+        let size_bytes: usize = later.iter().map(|entry| entry.1.size_bytes()).sum();
         let changes = Changes {
             position: self.position.get(),
-            changes: later.iter().map(|one| one.1.change(one.0)).collect(),
-            may_be_truncated: size_bytes >= CUT_FROM_BYTES,
+            changes: later.iter().map(|entry| entry.1.change(entry.0)).collect(),
+            may_be_truncated: size_bytes >= TRUNCATED_FROM_BYTES,
         };
         Ok((changes, size_bytes))
     }
 
-    /// Everything as it is now, and the sizes of its parts in bytes.
+    /// All current values, and the sizes of their parts in bytes.
     fn snapshot(&self) -> (Snapshot, Vec<usize>) {
         let upstreams = self.upstreams();
         let mut sizes_bytes = vec![upstreams.len() * REGISTRATION_BYTES];
@@ -215,58 +216,60 @@
     }
 }
 
-impl Line {
-    pub fn new(store: Rc<Store>, bytes_per_s: f64, stretches: Vec<Stretch>) -> Self {
+impl Link {
+    pub fn new(store: Rc<Store>, bytes_per_s: f64, phases: Vec<Phase>) -> Self {
         Self {
             store,
             bytes_per_s,
-            stretches,
+            phases,
         }
     }
 
-    /// How calls go now.
-    fn way(&self) -> Way {
+    /// The current outcome of calls.
+    fn outcome(&self) -> CallOutcome {
         let Some(started) = self.store.started.get() else {
-            return Way::Served;
+            return CallOutcome::Served;
         };
         let now = started.elapsed();
-        let holds = |stretch: &&Stretch| stretch.from <= now && now < stretch.until;
-        let stretch = self.stretches.iter().find(holds);
-        stretch.map_or(Way::Served, |stretch| stretch.way)
+        let holds = |phase: &&Phase| phase.from <= now && now < phase.until;
+        let phase = self.phases.iter().find(holds);
+        phase.map_or(CallOutcome::Served, |phase| phase.outcome)
     }
 
-    /// Reaches the store, or fails by the way in which calls go now.
-    async fn reach(&self, deadline: Instant) -> Result<(), SourceError> {
+    /// Makes a round trip, or fails with the current outcome of calls.
+    async fn round_trip(&self, deadline: Instant) -> Result<(), SourceError> {
         sleep(ROUND_TRIP).await;
-        match self.way() {
-            Way::Served | Way::Slow { .. } => Ok(()),
-            Way::Refused(status) => Err(SourceError::Refused(status)),
-            Way::Failed => Err(SourceError::Failed("connection reset".to_owned())),
-            Way::Silent => {
+        match self.outcome() {
+            CallOutcome::Served | CallOutcome::Slow { .. } => Ok(()),
+            CallOutcome::Refused(status) => Err(SourceError::Refused(status)),
+            CallOutcome::Failed => Err(SourceError::Failed("connection reset".to_owned())),
+            CallOutcome::Silent => {
                 sleep_until(deadline).await;
                 Err(no_answer())
             }
-            Way::Late { delay_ms } => arrive(Duration::from_millis(delay_ms), deadline).await,
+            CallOutcome::Late { delay_ms } => {
+                wait_for_arrival(Duration::from_millis(delay_ms), deadline).await
+            }
         }
     }
 
-    /// Brings an answer over the link.
+    /// Transfers an answer over the link.
     async fn transfer(&self, size_bytes: usize, deadline: Instant) -> Result<(), SourceError> {
-        let bytes_per_s = match self.way() {
-            Way::Slow { bytes_per_s } => bytes_per_s,
+        let bytes_per_s = match self.outcome() {
+            CallOutcome::Slow { bytes_per_s } => bytes_per_s,
             _ => self.bytes_per_s,
         };
         let encoded_bytes = (EMPTY_ANSWER_BYTES + size_bytes * 4 / 3) as f64;
         let time = Duration::from_secs_f64(encoded_bytes / bytes_per_s);
-        arrive(time, deadline).await
+        wait_for_arrival(time, deadline).await
     }
 
     async fn read_all(&self, timeout: Duration) -> Result<Snapshot, SourceError> {
-        self.reach(Instant::now() + timeout).await?;
+        self.round_trip(Instant::now() + timeout).await?;
         let (snapshot, sizes_bytes) = self.store.snapshot();
         for size_bytes in sizes_bytes {
             let deadline = Instant::now() + timeout;
-            self.reach(deadline).await?;
+            self.round_trip(deadline).await?;
             self.transfer(size_bytes, deadline).await?;
         }
         Ok(snapshot)
@@ -278,13 +281,16 @@
         wait: Duration,
         timeout: Duration,
     ) -> Result<Changes, SourceError> {
-        let asked = Instant::now();
-        let deadline = asked + wait + timeout;
-        self.reach(deadline).await?;
-        self.store.wait_for_change(after, asked + wait).await;
-        if matches!(self.way(), Way::Refused(_) | Way::Failed | Way::Silent) {
-            // Calls began to go badly while this one waited.
-            self.reach(deadline).await?;
+        let called_at = Instant::now();
+        let deadline = called_at + wait + timeout;
+        self.round_trip(deadline).await?;
+        self.store.wait_for_change(after, called_at + wait).await;
+        if matches!(
+            self.outcome(),
+            CallOutcome::Refused(_) | CallOutcome::Failed | CallOutcome::Silent
+        ) {
+            // The outcome of calls may have changed while this one waited.
+            self.round_trip(deadline).await?;
         }
         let (changes, size_bytes) = self.store.changes(after)?;
         self.transfer(size_bytes, deadline).await?;
@@ -296,7 +302,7 @@
     }
 }
 
-impl Source for Line {
+impl Source for Link {
     fn read(&self, timeout: Duration) -> LocalBoxFuture<'_, Result<Snapshot, SourceError>> {
         self.count_call();
         self.read_all(timeout).boxed_local()
@@ -313,8 +319,8 @@
     }
 }
 
-/// Takes `time`, and fails where that is longer than until `deadline`.
-async fn arrive(time: Duration, deadline: Instant) -> Result<(), SourceError> {
+/// Waits for `time`, or fails at `deadline` if that comes first.
+async fn wait_for_arrival(time: Duration, deadline: Instant) -> Result<(), SourceError> {
     let arrival = Instant::now() + time;
     sleep_until(arrival.min(deadline)).await;
     match arrival > deadline {
--- a/crates/gateway/tests/known_positions.rs
+++ b/crates/gateway/tests/known_positions.rs
@@ -1,60 +1,65 @@
-//! How far a daemon knows what is published, and whose word it takes for it.
+//! Positions up to which a daemon knows the published changes.
 
 use mangofront_gateway::KnownPositions;
 
-fn at(position: u64) -> KnownPositions {
-    let mut horizon = KnownPositions::default();
-    horizon.advance(position);
-    horizon
+fn known_up_to(position: u64) -> KnownPositions {
+    let mut positions = KnownPositions::default();
+    positions.advance(position);
+    positions
 }
 
-/// A daemon that had read the change, and then lost the source's history, took over a
-/// neighbour's older copy: an upstream that it knew to be leaving got new work again.
+/// Guards against an outdated copy: a daemon that knew a change, and then lost the source's
+/// history, applied an older copy of another daemon and sent new requests to an upstream
+/// that was draining.
 #[test]
-fn an_older_copy_is_not_taken_once_the_history_is_gone() {
-    let mut horizon = at(20);
-    horizon.reset();
-    assert_eq!(horizon.position(), None, "everything has to be read");
-    assert!(!horizon.accepts(19));
-    assert!(horizon.accepts(20));
+fn an_older_copy_is_rejected_after_a_reset() {
+    let mut positions = known_up_to(20);
+    positions.reset();
+    assert_eq!(
+        positions.position(),
+        None,
+        "everything has to be read again"
+    );
+    assert!(!positions.accepts(19));
+    assert!(positions.accepts(20));
     assert!(KnownPositions::default().accepts(1), "nothing is known yet");
 }
 
 #[test]
-fn changes_are_all_known_only_where_they_follow() {
-    let mut horizon = at(20);
-    assert!(horizon.follow_upstreams(10, 20), "known already");
-    assert_eq!(horizon.upstreams(), Some(20));
-    assert!(horizon.follow_upstreams(10, 21), "next");
-    assert_eq!(horizon.upstreams(), Some(21));
-    assert!(!horizon.follow_upstreams(22, 23), "a gap");
-    assert_eq!(horizon.upstreams(), Some(21));
-    let mut lost = horizon;
-    lost.reset();
-    assert!(!lost.follow_upstreams(10, 21));
-    assert_eq!(lost.upstreams(), None);
+fn changes_after_a_gap_do_not_advance_the_position() {
+    let mut positions = known_up_to(20);
+    assert!(positions.follow_upstreams(10, 20), "already known");
+    assert_eq!(positions.upstreams(), Some(20));
+    assert!(positions.follow_upstreams(10, 21), "next");
+    assert_eq!(positions.upstreams(), Some(21));
+    assert!(!positions.follow_upstreams(22, 23), "a gap");
+    assert_eq!(positions.upstreams(), Some(21));
+    let mut after_reset = positions;
+    after_reset.reset();
+    assert!(!after_reset.follow_upstreams(10, 21));
+    assert_eq!(after_reset.upstreams(), None);
 }
 
 #[test]
-fn an_older_position_moves_nothing_back() {
-    let mut horizon = at(20);
-    horizon.advance(30);
-    horizon.advance(25);
-    assert_eq!(horizon.position(), Some(30));
+fn an_older_position_does_not_move_back() {
+    let mut positions = known_up_to(20);
+    positions.advance(30);
+    positions.advance(25);
+    assert_eq!(positions.position(), Some(30));
 }
 
-/// Departures stood in line behind a configuration: a change that followed one which was
-/// not known yet was passed over.
+/// Guards against departures that wait behind a configuration: a change was ignored if it
+/// followed a configuration that was not known yet.
 #[test]
-fn upstreams_are_followed_past_a_configuration_that_is_not_known() {
-    let mut horizon = at(20);
-    assert!(horizon.follow_upstreams(20, 25));
-    assert_eq!(horizon.configuration(), Some(20));
+fn upstreams_advance_past_an_unknown_configuration() {
+    let mut positions = known_up_to(20);
+    assert!(positions.follow_upstreams(20, 25));
+    assert_eq!(positions.configuration(), Some(20));
     assert_eq!(
-        horizon.position(),
+        positions.position(),
         Some(20),
-        "from here on the source is asked"
+        "the source is watched from here on"
     );
-    assert!(horizon.follow_configuration(20, 25));
-    assert_eq!(horizon.position(), Some(25));
+    assert!(positions.follow_configuration(20, 25));
+    assert_eq!(positions.position(), Some(25));
 }
--- a/crates/gateway/tests/registrations.rs
+++ b/crates/gateway/tests/registrations.rs
@@ -1,4 +1,4 @@
-//! Which upstreams are used, and which of them other daemons are told of.
+//! Registrations: which upstreams are in use, and which ones other daemons receive.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -10,9 +10,9 @@
 use mangofront_routes::Upstream;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-const KEPT: Duration = Duration::from_secs(2);
+const GRACE: Duration = Duration::from_secs(2);
 
-/// Position at which an upstream was registered, and one after it.
+/// Position at which an upstream was registered, and a later one.
 const REGISTERED_AT: u64 = 1;
 const MISSING_AT: u64 = 2;
 
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn one_that_may_have_lapsed_is_used_for_a_while_and_told_to_nobody() {
+fn a_lapsed_upstream_stays_in_use_but_is_not_published() {
     let now = Instant::now();
-    let until = now + KEPT;
+    let until = now + GRACE;
     let mut registrations = Registrations::default();
     registrations.register(upstream(1, false), Duration::ZERO);
     let id = "i-1".to_owned();
-    let missing = registrations.mark_missing(&id, Removal::observed_at(MISSING_AT), Some(until));
-    assert_eq!(missing, RemovalOutcome::InGrace(until));
+    let outcome = registrations.mark_missing(&id, Removal::observed_at(MISSING_AT), Some(until));
+    assert_eq!(outcome, RemovalOutcome::InGrace(until));
     assert_eq!(registrations.in_use().count(), 1);
     assert_eq!(registrations.published().count(), 0);
     assert!(!registrations.end_grace(&id, now), "not yet");
@@ -50,25 +50,26 @@
 }
 
 #[test]
-fn one_that_said_that_it_leaves_is_not_kept() {
+fn an_upstream_that_announced_its_shutdown_gets_no_grace_period() {
     let mut registrations = Registrations::default();
     registrations.register(upstream(1, true), Duration::ZERO);
-    let until = Instant::now() + KEPT;
+    let until = Instant::now() + GRACE;
     let id = "i-1".to_owned();
-    let missing = registrations.mark_missing(&id, Removal::observed_at(MISSING_AT), Some(until));
-    assert_eq!(missing, RemovalOutcome::Removed);
+    let outcome = registrations.mark_missing(&id, Removal::observed_at(MISSING_AT), Some(until));
+    assert_eq!(outcome, RemovalOutcome::Removed);
     assert_eq!(registrations.in_use().count(), 0);
 }
 
-/// Guards against a departure that is put off where only the removal after it is heard of.
+/// Guards against a grace period for an upstream whose announced shutdown is known only
+/// from a later removal.
 #[test]
-fn one_that_others_know_to_have_left_is_not_kept() {
-    let until = Some(Instant::now() + KEPT);
+fn an_announced_removal_ends_the_grace_period() {
+    let until = Some(Instant::now() + GRACE);
     let id = "i-1".to_owned();
-    let seen = Removal::observed_at(MISSING_AT);
+    let observed = Removal::observed_at(MISSING_AT);
     let announced = Removal {
         is_announced: true,
-        ..seen
+        ..observed
     };
     let mut registrations = Registrations::default();
     registrations.register(upstream(1, false), Duration::ZERO);
@@ -79,8 +80,8 @@
     assert_eq!(registrations.in_use().count(), 0);
     let mut registrations = Registrations::default();
     registrations.register(upstream(1, false), Duration::ZERO);
-    let kept = registrations.mark_missing(&id, seen, until);
-    assert!(matches!(kept, RemovalOutcome::InGrace(_)), "{kept:?}");
+    let outcome = registrations.mark_missing(&id, observed, until);
+    assert!(matches!(outcome, RemovalOutcome::InGrace(_)), "{outcome:?}");
     assert_eq!(
         registrations.mark_missing(&id, announced, until),
         RemovalOutcome::Removed
@@ -88,9 +89,9 @@
     assert_eq!(registrations.in_use().count(), 0);
 }
 
-/// Guards against a departure that is forgotten with the registration that told it.
+/// Guards against forgetting an announced shutdown together with its registration.
 #[test]
-fn that_one_said_that_it_leaves_is_remembered_until_its_next_life() {
+fn an_announced_shutdown_is_remembered_until_the_next_incarnation() {
     let id = "i-1".to_owned();
     let is_announced = |registrations: &Registrations| {
         let record = registrations.record(&id);
@@ -101,14 +102,17 @@
     registrations.mark_missing(&id, Removal::observed_at(MISSING_AT), None);
     assert!(is_announced(&registrations));
     registrations.mark_missing(&id, Removal::observed_at(MISSING_AT), None);
-    assert!(is_announced(&registrations), "heard of again");
+    assert!(is_announced(&registrations), "the same removal again");
     registrations.mark_missing(&id, Removal::observed_at(MISSING_AT + 2), None);
-    assert!(!is_announced(&registrations), "there was another life");
+    assert!(
+        !is_announced(&registrations),
+        "another incarnation was removed"
+    );
 }
 
 #[test]
-fn one_that_is_back_is_not_removed_by_the_end_of_its_keeping() {
-    let until = Instant::now() + KEPT;
+fn the_end_of_a_grace_period_does_not_remove_an_upstream_that_is_back() {
+    let until = Instant::now() + GRACE;
     let mut registrations = Registrations::default();
     let id = "i-1".to_owned();
     registrations.register(upstream(1, false), Duration::ZERO);
@@ -125,13 +129,13 @@
     assert_eq!(registrations.published().count(), 1);
 }
 
-/// What becomes of an upstream, and who hears of it.
+/// A change of an upstream, or a transfer between daemons.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Registers(u8),
-    SaysThatItLeaves(u8),
+    AnnouncesShutdown(u8),
     Gone(u8),
-    /// The second daemon takes over what the first hands out.
+    /// The second daemon copies the published registrations of the first.
     Copied,
 }
 
@@ -140,26 +144,27 @@
         let id = u8::arbitrary(g) % 5;
         match u8::arbitrary(g) % 4 {
             0 => Self::Registers(id),
-            1 => Self::SaysThatItLeaves(id),
+            1 => Self::AnnouncesShutdown(id),
             2 => Self::Gone(id),
             _ => Self::Copied,
         }
     }
 }
 
-/// A daemon that has just lost the source keeps what is missing. Whatever it hands on is
-/// what is published, so that a daemon that trusts it never uses one that has left.
+/// A daemon that has lost the source keeps missing upstreams in use for a while. The
+/// registrations that it hands to others contain only published ones, so that the other
+/// daemon never uses an upstream that has left.
 #[test]
-fn a_copy_holds_what_is_published_and_nothing_else() {
+fn a_copy_holds_exactly_the_published_upstreams() {
     fn property(steps: Vec<Step>) -> bool {
-        let until = Some(Instant::now() + KEPT);
+        let until = Some(Instant::now() + GRACE);
         let mut source: BTreeSet<String> = BTreeSet::new();
         let (mut first, mut second) = (Registrations::default(), Registrations::default());
         let steps = steps.into_iter().chain([Step::Copied]);
         (1..).zip(steps).all(|(position, step)| {
             match step {
-                Step::Registers(id) | Step::SaysThatItLeaves(id) => {
-                    let leaving = matches!(step, Step::SaysThatItLeaves(_));
+                Step::Registers(id) | Step::AnnouncesShutdown(id) => {
+                    let leaving = matches!(step, Step::AnnouncesShutdown(_));
                     source.insert(format!("i-{id}"));
                     let registered = Upstream {
                         registered_at: position,
@@ -178,8 +183,8 @@
                     for id in &missing - &names(copied.iter()) {
                         second.mark_missing(&id, Removal::observed_at(position), None);
                     }
-                    for one in copied {
-                        second.register(one, Duration::ZERO);
+                    for upstream in copied {
+                        second.register(upstream, Duration::ZERO);
                     }
                     return names(second.in_use()) == source;
                 }
@@ -192,47 +197,53 @@
         .quickcheck(property as fn(Vec<Step>) -> bool);
 }
 
-/// Daemons that heard the same last changes differed, as one had taken an older statement
-/// for a later one: it sent requests to an upstream that had left.
+/// Guards against daemons that know the same last changes and differ all the same: one
+/// applied an older statement over a later one, and sent requests to an upstream that had
+/// left.
 ///
-/// Each hears every change once at least, and some again, in an order of its own.
+/// The daemon receives every change at least once, and some again, in any order.
 #[test]
-fn changes_lead_to_the_same_in_any_order() {
+fn changes_in_any_order_lead_to_the_same_state() {
     fn property(steps: Vec<Step>, order: Vec<usize>) -> bool {
         let mut source = Registrations::default();
         let mut statements = Vec::new();
         for (position, step) in (1..).zip(steps) {
             let statement = match step {
                 Step::Registers(id) => (position, id, Some(false)),
-                Step::SaysThatItLeaves(id) => (position, id, Some(true)),
+                Step::AnnouncesShutdown(id) => (position, id, Some(true)),
                 Step::Gone(id) => (position, id, None),
                 Step::Copied => continue,
             };
-            state(&mut source, statement);
+            apply_statement(&mut source, statement);
             statements.push(statement);
         }
         let mut daemon = Registrations::default();
-        let mixed = order.iter().filter(|_| !statements.is_empty());
-        for place in mixed.map(|place| place % statements.len().max(1)) {
-            state(&mut daemon, statements[place]);
+        let indices = order.iter().filter(|_| !statements.is_empty());
+        for index in indices.map(|index| index % statements.len().max(1)) {
+            apply_statement(&mut daemon, statements[index]);
         }
         statements
             .iter()
             .rev()
-            .for_each(|one| state(&mut daemon, *one));
-        let leaving = |registrations: &Registrations| -> BTreeSet<(String, bool)> {
-            let used = registrations.in_use();
-            used.map(|one| (one.id.clone(), one.leaving)).collect()
+            .for_each(|statement| apply_statement(&mut daemon, *statement));
+        let view = |registrations: &Registrations| -> BTreeSet<(String, bool)> {
+            let in_use = registrations.in_use();
+            in_use
+                .map(|upstream| (upstream.id.clone(), upstream.leaving))
+                .collect()
         };
-        leaving(&daemon) == leaving(&source)
+        view(&daemon) == view(&source)
     }
     QuickCheck::new()
         .tests(2_000)
         .quickcheck(property as fn(Vec<Step>, Vec<usize>) -> bool);
 }
 
-/// Takes in what is published of an upstream from a position on.
-fn state(registrations: &mut Registrations, (position, id, leaving): (u64, u8, Option<bool>)) {
+/// Applies a registration, or a removal if `leaving` is `None`.
+fn apply_statement(
+    registrations: &mut Registrations,
+    (position, id, leaving): (u64, u8, Option<bool>),
+) {
     match leaving {
         Some(leaving) => {
             let registered = Upstream {
@@ -247,10 +258,10 @@
     }
 }
 
-/// Removals that were forgotten can't be told: a daemon that asks for what it lacks must not
-/// be told that it has all.
+/// Guards against forgotten removals: a daemon that requests the changes it lacks must not
+/// be told that the list is complete.
 #[test]
-fn a_removal_that_may_be_forgotten_is_not_left_out_silently() {
+fn forgotten_removals_make_the_list_of_changes_unavailable() {
     let mut registrations = Registrations::default();
     for number in 1..=5_000_u64 {
         registrations.mark_missing(&format!("i-{number}"), Removal::observed_at(number), None);
@@ -265,80 +276,95 @@
     assert_eq!(latest.len(), 10);
 }
 
-/// What is missing is kept for a moment after the source is back, not after it is noticed.
+/// The grace period counts from the source's recovery, not from the moment at which the
+/// missing registration is noticed.
 #[test]
-fn keeping_ends_a_moment_after_the_contact_is_regained() {
+fn the_grace_period_counts_from_the_recovery_of_the_source() {
     let now = Instant::now();
-    let mut contact = SourceAvailability::default();
-    contact.record_answer(now, now);
-    assert_eq!(contact.keep_until(now, KEPT), None, "never out of touch");
-    contact.record_failure();
-    assert_eq!(contact.keep_until(now, KEPT), Some(now + KEPT));
-    contact.record_answer(now, now);
-    let later = now + KEPT / 2;
-    contact.record_answer(later, later);
-    assert_eq!(contact.keep_until(later, KEPT), Some(now + KEPT));
-    assert_eq!(contact.keep_until(now + KEPT, KEPT), None);
+    let mut availability = SourceAvailability::default();
+    availability.record_answer(now, now);
+    assert_eq!(
+        availability.grace_until(now, GRACE),
+        None,
+        "the source was always available"
+    );
+    availability.record_failure();
+    assert_eq!(availability.grace_until(now, GRACE), Some(now + GRACE));
+    availability.record_answer(now, now);
+    let later = now + GRACE / 2;
+    availability.record_answer(later, later);
+    assert_eq!(availability.grace_until(later, GRACE), Some(now + GRACE));
+    assert_eq!(availability.grace_until(now + GRACE, GRACE), None);
 }
 
-/// A daemon that the source had turned away kept upstreams that had left, though others were
-/// answered all the while: its own failed calls stood for an outage.
+/// Guards against an outage that was none: the source rejected one daemon, which kept using
+/// upstreams that had left although other daemons got answers all the time.
 #[test]
-fn what_another_saw_answered_is_no_outage() {
+fn answers_to_another_daemon_disprove_an_outage() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let other = |since_ms, until_ms| AnsweredPeriod {
         since: at(since_ms),
         until: at(until_ms),
     };
-    let mut contact = SourceAvailability::default();
-    contact.record_answer(at(0), at(1_000));
-    contact.record_failure();
+    let mut availability = SourceAvailability::default();
+    availability.record_answer(at(0), at(1_000));
+    availability.record_failure();
     assert!(
-        contact.keep_until(at(1_500), KEPT).is_some(),
-        "nobody told yet"
+        availability.grace_until(at(1_500), GRACE).is_some(),
+        "no other report yet"
     );
-    contact.merge(other(900, 1_600), at(1_600));
-    assert_eq!(contact.keep_until(at(1_600), KEPT), None);
-    contact.record_failure();
-    contact.record_answer(at(2_000), at(2_000));
+    availability.merge(other(900, 1_600), at(1_600));
+    assert_eq!(availability.grace_until(at(1_600), GRACE), None);
+    availability.record_failure();
+    availability.record_answer(at(2_000), at(2_000));
     assert!(
-        contact.keep_until(at(2_000), KEPT).is_some(),
+        availability.grace_until(at(2_000), GRACE).is_some(),
         "an outage from 1.6 s on"
     );
-    contact.merge(other(900, 2_100), at(2_100));
-    assert_eq!(contact.keep_until(at(2_100), KEPT), None, "it was none");
+    availability.merge(other(900, 2_100), at(2_100));
+    assert_eq!(
+        availability.grace_until(at(2_100), GRACE),
+        None,
+        "there was no outage"
+    );
 }
 
-/// An outage that everybody saw ends for all when the first is answered again.
+/// An outage that all daemons saw ends for all of them with the first answer.
 #[test]
-fn an_outage_ends_with_the_first_answer_that_anybody_had() {
+fn an_outage_ends_with_the_first_answer_to_any_daemon() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut contact = SourceAvailability::default();
-    contact.record_answer(at(0), at(1_000));
-    contact.record_failure();
+    let mut availability = SourceAvailability::default();
+    availability.record_answer(at(0), at(1_000));
+    availability.record_failure();
     let other = AnsweredPeriod {
         since: at(2_000),
         until: at(2_200),
     };
-    contact.merge(other, at(2_200));
-    assert_eq!(contact.keep_until(at(2_300), KEPT), Some(at(2_000) + KEPT));
+    availability.merge(other, at(2_200));
+    assert_eq!(
+        availability.grace_until(at(2_300), GRACE),
+        Some(at(2_000) + GRACE)
+    );
 }
 
-/// A zone that was cut off dropped its own upstreams when it was back, as the others had
-/// seen their registrations lapse.
+/// Guards against a zone that drops its own upstreams after a network partition, because
+/// the other zones saw their registrations lapse.
 #[test]
-fn a_daemon_that_was_cut_off_gives_upstreams_time_to_come_back() {
+fn a_daemon_that_was_cut_off_starts_a_grace_period() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut contact = SourceAvailability::default();
-    contact.record_answer(at(0), at(1_000));
-    contact.record_failure();
+    let mut availability = SourceAvailability::default();
+    availability.record_answer(at(0), at(1_000));
+    availability.record_failure();
     let other = AnsweredPeriod {
         since: at(0),
         until: at(8_900),
     };
-    contact.merge(other, at(9_000));
-    assert_eq!(contact.keep_until(at(9_000), KEPT), Some(at(9_000) + KEPT));
+    availability.merge(other, at(9_000));
+    assert_eq!(
+        availability.grace_until(at(9_000), GRACE),
+        Some(at(9_000) + GRACE)
+    );
 }
