--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -140,7 +140,7 @@
 
 /// Whether another upstream may answer a repeated request better.
 fn is_retryable_status(call: &Call, status: StatusCode) -> bool {
-    call.route.safety.may_repeat() && status.is_server_error()
+    call.route.safety.may_retry() && status.is_server_error()
 }
 
 /// Reads an answer that is not a stream.
@@ -151,7 +151,7 @@
 ) -> Result<CompleteAnswer, AttemptError> {
     let AttemptAnswer {
         answer,
-        mut placed,
+        mut placement,
         upstream,
         reservations,
     } = attempt_answer;
@@ -159,12 +159,12 @@
     let headers = gateway.parts().dialect.answer_headers(&answer.headers);
     let limit_bytes = gateway.options().answer_limit_bytes;
     let body = pin!(answer.bytes(limit_bytes, call.deadline));
-    let read = until_restart(&mut placed, body).await;
-    placed.first_event();
+    let read = until_restart(&mut placement, body).await;
+    placement.record_first_event();
     drop(reservations);
     match read.ok_or_else(upstream_restarted)? {
         Ok(body) => {
-            placed.answered();
+            placement.record_complete();
             if !status.is_server_error() {
                 record_success(gateway, call);
             }
@@ -173,8 +173,8 @@
                 headers,
                 body,
                 upstream: upstream.id,
-                engines: placed.readers.len(),
-                expected: placed.expected_first_event,
+                engines: placement.shares.len(),
+                expected: placement.expected_first_event,
             })
         }
         Err(_) if call.time_left().is_zero() => Err(AttemptError::DeadlineExceeded),
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -13,9 +13,9 @@
 use futures_util::future::{Either, select};
 use http::{Request, StatusCode};
 use http_body_util::Full;
-use mangofront_engines::{Demand, Failure, NoUpstream, Placed, Reader, UpstreamKey, key_of};
+use mangofront_engines::{Demand, Failure, NoUpstream, Placement, Share, UpstreamKey, key_of};
 use mangofront_http::Outcome;
-use mangofront_routes::{Safety, Upstream};
+use mangofront_routes::{RetrySafety, Upstream};
 use mangofront_upstream::{Answer, Connections, SendError, Target};
 
 use crate::call::Call;
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub(crate) struct AttemptAnswer {
     pub(crate) answer: Answer,
-    pub(crate) placed: Placed,
+    pub(crate) placement: Placement,
     pub(crate) upstream: Upstream,
     /// Released when the request no longer uses the memory.
     pub(crate) reservations: Reservations,
@@ -70,24 +70,25 @@
     last_event_id: Option<EventId>,
 ) -> Result<AttemptAnswer, AttemptError> {
     check_quarantine(gateway, call, history)?;
-    let mut placed = place(gateway, call, history).await?;
-    let upstream = placed.answering().clone();
+    let mut placement = place(gateway, call, history).await?;
+    let upstream = placement.answering().clone();
     let key = key_of(&upstream);
-    trace::placed(call, history, &placed, &gateway.parts().published);
+    trace::request_placed(call, history, &placement, &gateway.parts().published);
     history.tried.push(key);
     let name = format!(
         "{}-{}-{}",
         gateway.options().instance,
         call.id,
-        placed.work_id()
+        placement.work_id()
     );
-    let reservations = Reservations::acquire(gateway.reservation_client(), &placed.readers, &name)
-        .await
-        .map_err(|upstream| reservation_failed(gateway, call, &upstream))?;
+    let reservations =
+        Reservations::acquire(gateway.reservation_client(), &placement.shares, &name)
+            .await
+            .map_err(|upstream| reservation_failed(gateway, call, &upstream))?;
     // Other daemons may have seen more upstreams crash under this request while it waited.
     check_quarantine(gateway, call, history)?;
-    let request = build_request(gateway, call, &placed, &reservations, last_event_id)?;
-    let head_timeout = head_timeout(gateway, call, history, &placed);
+    let request = build_request(gateway, call, &placement, &reservations, last_event_id)?;
+    let head_timeout = head_timeout(gateway, call, history, &placement);
     let sent = {
         let sending = pin!(send(
             gateway,
@@ -97,7 +98,7 @@
             head_timeout,
             history
         ));
-        until_restart(&mut placed, sending).await
+        until_restart(&mut placement, sending).await
     };
     let result = match sent {
         Some(Ok(answer)) => check_head(gateway, call, &upstream, answer, history),
@@ -116,7 +117,7 @@
     }
     Ok(AttemptAnswer {
         answer: result?,
-        placed,
+        placement,
         upstream,
         reservations,
     })
@@ -143,7 +144,7 @@
     gateway: &Gateway,
     call: &Call,
     history: &mut History,
-) -> Result<Placed, AttemptError> {
+) -> Result<Placement, AttemptError> {
     let started = Instant::now();
     let mut waited = Duration::ZERO;
     loop {
@@ -156,9 +157,9 @@
                 compio::time::sleep(busy_retry_pause(upstreams.count())).await;
                 waited = started.elapsed();
             }
-            placed => {
+            placement => {
                 history.waited += waited;
-                return placed.map_err(AttemptError::NoUpstream);
+                return placement.map_err(AttemptError::NoUpstream);
             }
         }
     }
@@ -173,8 +174,8 @@
 /// Describes a request to the placement algorithm.
 fn demand(call: &Call, history: &History, waited: Duration, connections: &Connections) -> Demand {
     let gap = match call.route.safety {
-        Safety::Stream { gap, .. } => gap,
-        Safety::Idempotent | Safety::AtMostOnce => Duration::ZERO,
+        RetrySafety::Stream { gap, .. } => gap,
+        RetrySafety::Idempotent | RetrySafety::AtMostOnce => Duration::ZERO,
     };
     let tokens = call.tokens;
     Demand {
@@ -187,7 +188,7 @@
         request: call.fingerprint.name(),
         is_refusable: history.sent == 0,
         // Requests that must not be repeated always open a new connection.
-        connected: match call.route.safety.may_repeat() {
+        connected: match call.route.safety.may_retry() {
             true => connections.unused(),
             false => HashSet::new(),
         },
@@ -203,18 +204,18 @@
 fn build_request(
     gateway: &Gateway,
     call: &Call,
-    placed: &Placed,
+    placement: &Placement,
     reservations: &Reservations,
     last_event_id: Option<EventId>,
 ) -> Result<Request<Full<Bytes>>, AttemptError> {
-    let helper = |reader: &Reader| Helper {
-        address: reader.upstream.address,
-        reservation: reservations.id_at(&reader.upstream),
+    let helper = |share: &Share| Helper {
+        address: share.upstream.address,
+        reservation: reservations.id_at(&share.upstream),
     };
-    let helpers: Vec<Helper> = placed.readers.iter().skip(1).map(helper).collect();
+    let helpers: Vec<Helper> = placement.shares.iter().skip(1).map(helper).collect();
     let organisation = call.organisation.as_ref();
     let attempt = AttemptHead {
-        upstream: &placed.answering().id,
+        upstream: &placement.answering().id,
         organisation: organisation.map(|organisation| organisation.id.as_str()),
         time_left: call.time_left(),
         urgency: call.tokens.map(|_| urgency(call)),
@@ -253,27 +254,32 @@
 /// Time to wait for the head of the answer.
 ///
 /// A request that must not be sent again is never given up because of silence.
-fn head_timeout(gateway: &Gateway, call: &Call, history: &History, placed: &Placed) -> Duration {
+fn head_timeout(
+    gateway: &Gateway,
+    call: &Call,
+    history: &History,
+    placement: &Placement,
+) -> Duration {
     let left = call.time_left();
-    let may_repeat = call.route.safety.may_repeat();
-    if !may_repeat || history.sent + 1 >= call.route.attempts {
+    let may_retry = call.route.safety.may_retry();
+    if !may_retry || history.sent + 1 >= call.route.attempts {
         return left;
     }
     match call.route.safety {
-        Safety::Stream { .. } => {
-            let predicted = placed.expected_first_event * HEAD_TIMEOUT_FACTOR;
+        RetrySafety::Stream { .. } => {
+            let predicted = placement.expected_first_event * HEAD_TIMEOUT_FACTOR;
             left.min(predicted + gateway.stall_timeout())
         }
-        Safety::Idempotent | Safety::AtMostOnce => left / PLAIN_TIMEOUT_DIVISOR,
+        RetrySafety::Idempotent | RetrySafety::AtMostOnce => left / PLAIN_TIMEOUT_DIVISOR,
     }
 }
 
 /// Runs `future` until the upstream starts again; `None` if it did.
 pub(crate) async fn until_restart<F: Future + Unpin>(
-    placed: &mut Placed,
+    placement: &mut Placement,
     future: F,
 ) -> Option<F::Output> {
-    match select(future, pin!(placed.restarted())).await {
+    match select(future, pin!(placement.restarted())).await {
         Either::Left((output, _)) => Some(output),
         Either::Right(_) => None,
     }
@@ -303,8 +309,8 @@
     // suspended.
     let key = key_of(upstream);
     let parts = gateway.parts();
-    let is_still_wanted = || parts.published.may_be_acted_on() && parts.upstreams.takes_work(key);
-    let sent = if call.route.safety.may_repeat() {
+    let is_still_wanted = || parts.published.may_be_acted_on() && parts.upstreams.accepts_work(key);
+    let sent = if call.route.safety.may_retry() {
         connections
             .send_if(&target, request, deadline, is_still_wanted)
             .await
@@ -355,7 +361,7 @@
             return Err(AttemptError::MayHaveRun(format!("an answer to {other}")));
         }
     }
-    gateway.parts().upstreams.answered(key);
+    gateway.parts().upstreams.record_answer(key);
     Ok(answer)
 }
 
--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mangofront_dissemination::Teller;
+use mangofront_dissemination::Origin;
 use mangofront_routes::RouteTable;
 use mangofront_settings::ids::InstanceId;
 
@@ -138,7 +138,7 @@
     ///
     /// They do not renew the lease: the datagram may have waited in the socket's buffer
     /// while this daemon was suspended.
-    pub(crate) fn apply_relayed(&self, relayed: Relayed, from: &Teller) {
+    pub(crate) fn apply_relayed(&self, relayed: Relayed, from: &Origin) {
         self.merge_answered(relayed.answered);
         let (after, up_to) = (relayed.upstreams.after, relayed.upstreams.up_to);
         let provenance = Provenance::relayed(from.address, up_to);
--- a/crates/gateway/src/datagram.rs
+++ b/crates/gateway/src/datagram.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use mangofront_dissemination::{Scope, Sequence, Teller, Telling};
-use mangofront_engines::News;
+use mangofront_dissemination::{Batch, Origin, Scope, Sequence};
+use mangofront_engines::LoadUpdate;
 use mangofront_routes::{ConfigurationVersion, Upstream, UpstreamId};
 use serde::{Deserialize, Serialize};
 
@@ -27,7 +27,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Datagram {
     /// The daemon that sent it.
-    pub(crate) sender: Teller,
+    pub(crate) sender: Origin,
     pub(crate) message: Message,
 }
 
@@ -36,16 +36,16 @@
 pub(crate) enum Message {
     /// Load updates of the sender itself.
     #[serde(rename = "News")]
-    LoadUpdates(Sequence, Vec<News>),
+    LoadUpdates(Sequence, Vec<LoadUpdate>),
     /// Batches of any origin that the receiver is to forward.
     #[serde(rename = "PassOn")]
-    Forward(Scope, Vec<Telling<News>>),
+    Forward(Scope, Vec<Batch<LoadUpdate>>),
     /// Batches that a relay of the receiver's zone forwarded.
     #[serde(rename = "PassedOn")]
-    Forwarded(Vec<Telling<News>>),
+    Forwarded(Vec<Batch<LoadUpdate>>),
     /// All unfinished requests of the sender.
     #[serde(rename = "Introduction")]
-    LoadSnapshot(Vec<News>),
+    LoadSnapshot(Vec<LoadUpdate>),
     /// Requests a [`Message::LoadSnapshot`].
     #[serde(rename = "Introduce")]
     RequestLoadSnapshot,
@@ -237,7 +237,7 @@
 
 impl Datagram {
     /// Encodes a datagram.
-    pub(crate) fn encode(sender: Teller, message: Message) -> Vec<u8> {
+    pub(crate) fn encode(sender: Origin, message: Message) -> Vec<u8> {
         let datagram = Self { sender, message };
         // The value consists of numbers, strings and lists, which always serialise.
         postcard::to_extend(&datagram, vec![VERSION]).unwrap_or_default()
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -9,7 +9,7 @@
 use std::str::FromStr;
 
 use http::Method;
-use mangofront_engines::RequestName;
+use mangofront_engines::RequestFingerprint;
 use thiserror::Error;
 
 /// Length of a fingerprint, in bytes: long enough that two requests never share one by
@@ -48,13 +48,13 @@
 impl Fingerprint {
     /// The fingerprint as a number.
     #[must_use]
-    pub fn name(self) -> RequestName {
-        RequestName::from_be_bytes(self.0)
+    pub fn name(self) -> RequestFingerprint {
+        RequestFingerprint::from_be_bytes(self.0)
     }
 }
 
-impl From<RequestName> for Fingerprint {
-    fn from(name: RequestName) -> Self {
+impl From<RequestFingerprint> for Fingerprint {
+    fn from(name: RequestFingerprint) -> Self {
         Self(name.to_be_bytes())
     }
 }
@@ -72,7 +72,8 @@
         if text.len() != 2 * LENGTH_BYTES || !is_hexadecimal {
             return Err(InvalidFingerprint);
         }
-        let name = RequestName::from_str_radix(text, 16).map_err(|_error| InvalidFingerprint)?;
+        let name =
+            RequestFingerprint::from_str_radix(text, 16).map_err(|_error| InvalidFingerprint)?;
         Ok(name.into())
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -115,7 +115,7 @@
         }
         metrics.departure_late(self.0.parts.published.longest_departure_delay());
         let members = self.0.parts.peers.members();
-        let live = members.iter().filter(|member| member.state.answers());
+        let live = members.iter().filter(|member| member.state.is_responsive());
         let live = live.count() as u64;
         metrics.quarantined(self.0.parts.upstreams.quarantined().len() as u64);
         metrics.peers(PeerState::Live, live);
@@ -132,7 +132,7 @@
     /// Ends the quarantine of a request at all daemons; returns whether crashes were
     /// recorded under it.
     pub fn lift_quarantine(&self, fingerprint: Fingerprint) -> bool {
-        let was_recorded = self.0.parts.upstreams.clear(fingerprint.name());
+        let was_recorded = self.0.parts.upstreams.clear_crashes(fingerprint.name());
         if was_recorded {
             trace::request_cleared(fingerprint, "lifted by the operator");
         }
@@ -197,7 +197,7 @@
     /// Ejects an upstream for a while after `request` failed there.
     pub(crate) fn eject(&self, upstream: UpstreamKey, failure: Failure, request: &str) {
         let upstreams = &self.0.parts.upstreams;
-        if let Some(time) = upstreams.failed(upstream, failure) {
+        if let Some(time) = upstreams.record_failure(upstream, failure) {
             let id = upstreams.id_of(upstream).unwrap_or_default();
             trace::upstream_ejected(&id, failure, time, request);
         }
--- a/crates/gateway/src/history.rs
+++ b/crates/gateway/src/history.rs
@@ -115,7 +115,7 @@
         {
             return false;
         }
-        if self.may_have_run && !call.route.safety.may_repeat() {
+        if self.may_have_run && !call.route.safety.may_retry() {
             return false;
         }
         if call.time_left() < MIN_ATTEMPT_TIME || self.unreachable >= UNREACHABLE_LIMIT {
--- a/crates/gateway/src/published.rs
+++ b/crates/gateway/src/published.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use compio::runtime::spawn;
 use mangofront_engines::Upstreams;
-use mangofront_routes::{ConfigurationVersion, EngineFigures, RouteTable, Upstream, UpstreamId};
+use mangofront_routes::{ConfigurationVersion, EngineProfile, RouteTable, Upstream, UpstreamId};
 use mangofront_settings::ids::ServiceName;
 use mangofront_upstream::Connections;
 
@@ -442,7 +442,7 @@
 
     /// Passes the upstreams in use to the selection of upstreams, if their service is in force.
     pub(crate) fn sync_upstreams(&self) {
-        let profiles: HashMap<ServiceName, Rc<EngineFigures>> = match self.table() {
+        let profiles: HashMap<ServiceName, Rc<EngineProfile>> = match self.table() {
             Some(table) => table
                 .services()
                 .filter_map(|service| {
@@ -461,7 +461,7 @@
             table.is_none_or(|table| table.service(&upstream.service).is_some())
         };
         let usable = registrations.in_use().filter(is_in_force).cloned();
-        for restarted in self.0.upstreams.set_known(usable, &profiles) {
+        for restarted in self.0.upstreams.set_published(usable, &profiles) {
             trace::upstream_restarted(&restarted);
             let address = restarted.address;
             self.0.connections.retain(|other| *other != address);
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -4,12 +4,12 @@
 //! upstream has crashed or only the connection is lost. A new connection to the upstream
 //! tells the two apart immediately, while the registrations show a crash only seconds
 //! later. Crashes are recorded with the upstreams and broadcast to all daemons
-//! ([`mangofront_engines::Standing`]); this module decides whether a request may be sent.
+//! ([`mangofront_engines::QuarantineState`]); this module decides whether a request may be sent.
 
 use std::time::{Duration, Instant};
 
 use compio::runtime::spawn;
-use mangofront_engines::{CrashStatus, RequestName, Standing, key_of};
+use mangofront_engines::{CrashStatus, QuarantineState, RequestFingerprint, key_of};
 use mangofront_routes::Upstream;
 use mangofront_upstream::{SendError, Target};
 use serde::Serialize;
@@ -49,9 +49,9 @@
 
 impl From<CrashStatus> for QuarantinedRequest {
     fn from(status: CrashStatus) -> Self {
-        let left = match status.standing {
-            Standing::Quarantined { left } => left,
-            Standing::Open { .. } | Standing::OnTrial => Duration::ZERO,
+        let left = match status.quarantine {
+            QuarantineState::Quarantined { remaining } => remaining,
+            QuarantineState::Open { .. } | QuarantineState::TrialAllowed => Duration::ZERO,
         };
         Self {
             fingerprint: Fingerprint::from(status.request).to_string(),
@@ -69,17 +69,19 @@
 ) -> Result<(), AttemptError> {
     let name = call.fingerprint.name();
     let upstreams = &gateway.parts().upstreams;
-    match upstreams.standing(name) {
+    match upstreams.quarantine_state(name) {
         _ if history.is_trial => Ok(()),
-        Standing::Open { .. } => Ok(()),
-        Standing::Quarantined { left } => Err(AttemptError::Quarantined { retry_after: left }),
-        Standing::OnTrial if is_trial_daemon(gateway, name) => {
+        QuarantineState::Open { .. } => Ok(()),
+        QuarantineState::Quarantined { remaining } => Err(AttemptError::Quarantined {
+            retry_after: remaining,
+        }),
+        QuarantineState::TrialAllowed if is_trial_daemon(gateway, name) => {
             upstreams.begin_trial(name);
             history.is_trial = true;
             trace::trial_started(call);
             Ok(())
         }
-        Standing::OnTrial => Err(AttemptError::Quarantined {
+        QuarantineState::TrialAllowed => Err(AttemptError::Quarantined {
             retry_after: RETRY_AFTER_TRIAL,
         }),
     }
@@ -87,11 +89,11 @@
 
 /// Whether this daemon is the one that tries a request again after its quarantine: the
 /// first by rendezvous hashing among the live members.
-fn is_trial_daemon(gateway: &Gateway, request: RequestName) -> bool {
+fn is_trial_daemon(gateway: &Gateway, request: RequestFingerprint) -> bool {
     let rank = |instance: &str| xxh3_64_with_seed(instance.as_bytes(), request as u64);
     let own = rank(&gateway.options().instance);
     let members = gateway.parts().peers.members();
-    let mut others = members.iter().filter(|member| member.state.answers());
+    let mut others = members.iter().filter(|member| member.state.is_responsive());
     others.all(|member| rank(&member.instance) <= own)
 }
 
@@ -101,22 +103,29 @@
 /// other request waits for the result, so that no further upstream crashes before it is
 /// known.
 pub(crate) async fn record_lost_connection(gateway: &Gateway, call: &Call, upstream: &Upstream) {
-    let standing = gateway.parts().upstreams.standing(call.fingerprint.name());
+    let state = gateway
+        .parts()
+        .upstreams
+        .quarantine_state(call.fingerprint.name());
     let check = check_for_crash(
         gateway.clone(),
         call.id.clone(),
         call.fingerprint,
         upstream.clone(),
     );
-    match standing {
-        Standing::Open { crashes: 0 } => spawn(check).detach(),
+    match state {
+        QuarantineState::Open { crashes: 0 } => spawn(check).detach(),
         _ => check.await,
     }
 }
 
 /// Clears a request of crashes, since it was answered completely.
 pub(crate) fn record_success(gateway: &Gateway, call: &Call) {
-    if gateway.parts().upstreams.clear(call.fingerprint.name()) {
+    if gateway
+        .parts()
+        .upstreams
+        .clear_crashes(call.fingerprint.name())
+    {
         trace::request_cleared(call.fingerprint, "answered");
     }
 }
@@ -137,7 +146,7 @@
     let Some(evidence) = crash_evidence(&gateway, &upstream).await else {
         return;
     };
-    let crashes = upstreams.crashed_under(fingerprint.name(), key);
+    let crashes = upstreams.record_crash(fingerprint.name(), key);
     gateway.parts().metrics.upstream_crashed();
     trace::upstream_crashed_under(&request, fingerprint, &upstream, crashes, evidence);
 }
@@ -145,7 +154,7 @@
 /// Evidence that an upstream has exited; `None` if it is alive or can't be probed.
 async fn crash_evidence(gateway: &Gateway, upstream: &Upstream) -> Option<&'static str> {
     let upstreams = &gateway.parts().upstreams;
-    if upstreams.has_started_again(upstream) {
+    if upstreams.has_restarted(upstream) {
         return Some("has started again");
     }
     // An upstream that was removed before has left as planned.
@@ -190,7 +199,7 @@
             }
         }
         Err(SendError::Timeout { .. }) => {
-            let silent = gateway.parts().upstreams.silent_zones();
+            let silent = gateway.parts().upstreams.unreachable_zones();
             match silent.contains(&upstream.availability_zone) {
                 true => ProbeResult::Unknown,
                 false => ProbeResult::Down("takes no connection in time"),
--- a/crates/gateway/src/registrations.rs
+++ b/crates/gateway/src/registrations.rs
@@ -161,7 +161,7 @@
         if before.is_some_and(|before| before.started_at_ms > upstream.started_at_ms) {
             return RegisterOutcome::EarlierIncarnation;
         }
-        let is_unchanged = before.is_some_and(|before| before.says_the_same(&upstream));
+        let is_unchanged = before.is_some_and(|before| before.eq_except_registered_at(&upstream));
         self.in_grace.remove(&id);
         self.insert(id, position, RegistrationState::Registered(upstream), delay);
         match is_unchanged {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -14,9 +14,9 @@
 use compio::time::Elapsed;
 use futures_util::{Stream, StreamExt};
 use http::{HeaderMap, StatusCode};
-use mangofront_engines::{Failure, Placed, key_of};
+use mangofront_engines::{Failure, Placement, key_of};
 use mangofront_http::Aborted;
-use mangofront_routes::{Safety, Upstream};
+use mangofront_routes::{RetrySafety, Upstream};
 use mangofront_telemetry::metrics::RequestOutcome;
 use mangofront_upstream::SendError;
 
@@ -48,7 +48,7 @@
 /// The stream of one upstream.
 struct UpstreamStream {
     chunks: Chunks,
-    placed: Placed,
+    placement: Placement,
     upstream: Upstream,
     /// Released when the stream ends.
     _reservations: Reservations,
@@ -58,7 +58,7 @@
     fn new(attempt_answer: AttemptAnswer) -> Self {
         Self {
             chunks: Box::pin(attempt_answer.answer.chunks()),
-            placed: attempt_answer.placed,
+            placement: attempt_answer.placement,
             upstream: attempt_answer.upstream,
             _reservations: attempt_answer.reservations,
         }
@@ -67,7 +67,7 @@
     /// The next chunk; waits until `deadline` at most.
     async fn next(&mut self, deadline: Instant) -> Result<NextChunk, AttemptError> {
         let chunk = pin!(compio::time::timeout_at(deadline, self.chunks.next()));
-        let next = until_restart(&mut self.placed, chunk).await;
+        let next = until_restart(&mut self.placement, chunk).await;
         next.ok_or_else(upstream_restarted)
     }
 }
@@ -103,12 +103,12 @@
             first: Bytes::new(),
             is_finished: false,
         };
-        let timeout = first_event_timeout(gateway, call, history, &opened.stream.placed);
+        let timeout = first_event_timeout(gateway, call, history, &opened.stream.placement);
         let deadline = Instant::now() + timeout;
         while opened.first.is_empty() && !opened.is_finished {
             opened.read_chunk(gateway, call, deadline).await?;
         }
-        opened.stream.placed.first_event();
+        opened.stream.placement.record_first_event();
         Ok(opened)
     }
 
@@ -153,13 +153,13 @@
     gateway: &Gateway,
     call: &Call,
     history: &History,
-    placed: &Placed,
+    placement: &Placement,
 ) -> Duration {
     let left = call.time_left();
-    if !call.route.safety.may_repeat() || !history.has_attempts_left(call) {
+    if !call.route.safety.may_retry() || !history.has_attempts_left(call) {
         return left;
     }
-    let predicted = placed.expected_first_event * 3 + gateway.stall_timeout();
+    let predicted = placement.expected_first_event * 3 + gateway.stall_timeout();
     left.min(predicted + Duration::from_millis(500))
 }
 
@@ -222,7 +222,7 @@
                     self.outcome = RequestOutcome::Answered;
                     record_success(&self.gateway, &self.call);
                     if let Some(stream) = self.stream.as_mut() {
-                        stream.placed.answered();
+                        stream.placement.record_complete();
                     }
                 }
                 return None;
@@ -247,7 +247,7 @@
         match next {
             Ok(Some(Ok(chunk))) => {
                 let key = key_of(&stream.upstream);
-                self.gateway.parts().upstreams.heard_from(key);
+                self.gateway.parts().upstreams.received_from(key);
                 let framed = self.framer.push(&chunk);
                 let framed = framed
                     .ok_or_else(|| AttemptError::MayHaveRun("an endless event".to_owned()))?;
@@ -305,7 +305,7 @@
             match resumed {
                 Ok(attempt_answer) if attempt_answer.answer.status.is_success() => {
                     let mut stream = UpstreamStream::new(attempt_answer);
-                    stream.placed.first_event();
+                    stream.placement.record_first_event();
                     self.stream = Some(stream);
                     self.framer = EventFramer::after(last_id);
                     return Ok(());
@@ -336,8 +336,8 @@
         let (upstream, engines, expected) = match &self.stream {
             Some(stream) => (
                 stream.upstream.id.as_str(),
-                stream.placed.readers.len(),
-                stream.placed.expected_first_event,
+                stream.placement.shares.len(),
+                stream.placement.expected_first_event,
             ),
             None => ("", 0, Duration::ZERO),
         };
@@ -358,7 +358,7 @@
 
 /// Silence after which the upstream is given up, if another one may resume the stream.
 fn silence_timeout(call: &Call, history: &History) -> Duration {
-    let Safety::Stream { resumable, gap } = call.route.safety else {
+    let RetrySafety::Stream { resumable, gap } = call.route.safety else {
         return call.time_left();
     };
     if !resumable || !history.has_attempts_left(call) {
--- a/crates/gateway/src/reservations.rs
+++ b/crates/gateway/src/reservations.rs
@@ -10,7 +10,7 @@
 use futures_channel::oneshot;
 use futures_util::future::join_all;
 use http::{HeaderValue, StatusCode, header};
-use mangofront_engines::Reader;
+use mangofront_engines::Share;
 use mangofront_routes::Upstream;
 use mangofront_upstream::{Connections, Target};
 
@@ -59,7 +59,7 @@
 }
 
 impl Reservations {
-    /// Reserves the memory that `readers` need; all of it or none.
+    /// Reserves the memory that `shares` need; all of it or none.
     ///
     /// The id of each reservation begins with `name`, which is unique to the request.
     ///
@@ -67,14 +67,14 @@
     /// The upstream that did not reserve the memory.
     pub(crate) async fn acquire(
         client: &ReservationClient,
-        readers: &[Reader],
+        shares: &[Share],
         name: &str,
     ) -> Result<Self, Upstream> {
-        let requested = readers.iter().enumerate().filter_map(|(index, reader)| {
+        let requested = shares.iter().enumerate().filter_map(|(index, share)| {
             Some(Reservation {
-                upstream: reader.upstream.clone(),
+                upstream: share.upstream.clone(),
                 id: format!("{name}-{index}"),
-                tokens: reader.reserve_tokens?,
+                tokens: share.reserve_tokens?,
             })
         });
         let mut reservations = Self {
--- a/crates/gateway/src/state_exchange.rs
+++ b/crates/gateway/src/state_exchange.rs
@@ -23,9 +23,10 @@
 use compio::net::UdpSocket;
 use futures_channel::mpsc::UnboundedSender;
 use mangofront_dissemination::{
-    Held, Life, Neighbour, Paths, RELAYS, Sequence, Sequences, Teller, Telling, WINDOW,
+    Batch, COALESCING_WINDOW, IncarnationId, LatestSequences, Origin, Peer, PendingBatches,
+    RELAYS_PER_ZONE, Sequence, Topology,
 };
-use mangofront_engines::{News, Upstreams};
+use mangofront_engines::{LoadUpdate, Upstreams};
 use mangofront_peers::{Member, Peers};
 use mangofront_settings::ids::{AvailabilityZone, Incarnation, InstanceId};
 use thiserror::Error;
@@ -39,12 +40,12 @@
 /// Largest datagram that can be received, in bytes.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Prefix of the duty of relaying load updates in a zone; the number of a slice follows.
+/// Prefix of the duty of relaying load updates in a zone; the number of a shard follows.
 const RELAY_DUTY: &str = "relay-news";
 
-/// Age up to which the broadcast paths are reused: membership changes more slowly, and
+/// Age up to which the broadcast topology is reused: membership changes more slowly, and
 /// iterating over hundreds of members for each batch would cost more than sending it.
-const PATHS_MAX_AGE: Duration = Duration::from_millis(250);
+const TOPOLOGY_MAX_AGE: Duration = Duration::from_millis(250);
 
 /// Time until a directly addressed daemon has applied an update: the latency between zones
 /// and two scheduling delays on busy CPUs. Relays add half a window twice.
@@ -99,10 +100,10 @@
     pending_queries: RefCell<HashMap<Nonce, UnboundedSender<RawReply>>>,
     nonce_counter: Cell<Nonce>,
     next_sequence: Cell<Sequence>,
-    sequences: RefCell<Sequences>,
-    paths: RefCell<Option<(Instant, Rc<Paths>)>>,
+    sequences: RefCell<LatestSequences>,
+    topology: RefCell<Option<(Instant, Rc<Topology>)>>,
     /// Batches that this daemon has to forward as a relay.
-    pending: RefCell<Held<News>>,
+    pending: RefCell<PendingBatches<LoadUpdate>>,
     /// Whether a task is running that forwards the pending batches.
     is_forwarding: Cell<bool>,
     /// When a relay of the zone last forwarded a batch to this daemon.
@@ -140,7 +141,7 @@
             peers,
             next_sequence: Cell::new(1),
             sequences: RefCell::default(),
-            paths: RefCell::default(),
+            topology: RefCell::default(),
             pending: RefCell::default(),
             is_forwarding: Cell::default(),
             last_relay_received: Cell::default(),
@@ -160,30 +161,30 @@
         sequence
     }
 
-    /// The broadcast paths, recomputed when they are too old.
-    fn paths(&self) -> Rc<Paths> {
-        let mut paths = self.paths.borrow_mut();
-        match paths.as_ref() {
-            Some((at, paths)) if at.elapsed() < PATHS_MAX_AGE => Rc::clone(paths),
+    /// The broadcast topology, recomputed when it is too old.
+    fn topology(&self) -> Rc<Topology> {
+        let mut topology = self.topology.borrow_mut();
+        match topology.as_ref() {
+            Some((at, topology)) if at.elapsed() < TOPOLOGY_MAX_AGE => Rc::clone(topology),
             _ => {
-                let current = Rc::new(self.compute_paths());
-                let is_relayed = current.is_relayed(self.relay_from_daemons);
-                self.upstreams.set_news_delay(match is_relayed {
-                    true => DIRECT_DELIVERY_DELAY + WINDOW,
+                let current = Rc::new(self.compute_topology());
+                let uses_relays = current.uses_relays(self.relay_from_daemons);
+                self.upstreams.set_update_delay(match uses_relays {
+                    true => DIRECT_DELIVERY_DELAY + COALESCING_WINDOW,
                     false => DIRECT_DELIVERY_DELAY,
                 });
-                *paths = Some((Instant::now(), Rc::clone(&current)));
+                *topology = Some((Instant::now(), Rc::clone(&current)));
                 current
             }
         }
     }
 
-    fn compute_paths(&self) -> Paths {
+    fn compute_topology(&self) -> Topology {
         let members = self.peers.members().into_iter();
         let own = self.peers.address();
-        let neighbours: Vec<Neighbour> = members
-            .filter(|member| member.state.answers() && member.address != own)
-            .map(|member| Neighbour {
+        let peers: Vec<Peer> = members
+            .filter(|member| member.state.is_responsive() && member.address != own)
+            .map(|member| Peer {
                 address: self.exchange_address(&member),
                 zone: member.availability_zone,
             })
@@ -192,14 +193,17 @@
             let addresses = members.iter().map(|member| self.exchange_address(member));
             addresses.collect()
         };
-        let relays = |slice: usize| {
-            let duty = format!("{RELAY_DUTY}-{slice}");
-            let relays = self.peers.delegates_by_zone(&duty, RELAYS).into_iter();
+        let relays = |shard: usize| {
+            let duty = format!("{RELAY_DUTY}-{shard}");
+            let relays = self
+                .peers
+                .delegates_by_capacity(&duty, RELAYS_PER_ZONE)
+                .into_iter();
             relays
                 .map(|(zone, members)| (zone, addresses(members)))
                 .collect()
         };
-        Paths::new(self.own_address, &self.zone, &neighbours, relays)
+        Topology::new(self.own_address, &self.zone, &peers, relays)
     }
 
     /// Address on which a member receives datagrams.
@@ -216,7 +220,7 @@
 
     /// Number of daemons in the zone of this one, itself included.
     pub(crate) fn zone_daemon_count(&self) -> usize {
-        self.paths().zone.len() + 1
+        self.topology().zone_peers.len() + 1
     }
 
     /// A number that differs between calls and between daemons.
@@ -255,7 +259,7 @@
 
     /// Sends all unfinished requests to a daemon that has just started or was unreachable.
     async fn send_load_snapshot(&self, to: SocketAddr) {
-        for part in split_into_datagrams(self.upstreams.introduction()) {
+        for part in split_into_datagrams(self.upstreams.load_snapshot()) {
             self.send(self.datagram(Message::LoadSnapshot(part)), to)
                 .await;
         }
@@ -274,18 +278,18 @@
             return;
         }
         match message {
-            Message::LoadUpdates(sequence, news) => {
-                let batch = Telling {
-                    teller: sender,
+            Message::LoadUpdates(sequence, updates) => {
+                let batch = Batch {
+                    origin: sender,
                     sequence,
-                    news,
+                    updates,
                 };
                 self.apply_batch(&batch).await;
             }
             Message::Forward(scope, batches) => {
-                let paths = self.paths();
+                let topology = self.topology();
                 for batch in batches {
-                    let rank = paths.rank_or_last(batch.teller.daemon);
+                    let rank = topology.rank_or_last(batch.origin.daemon);
                     if self.apply_batch(&batch).await {
                         self.enqueue(batch, scope, rank);
                     }
@@ -294,14 +298,15 @@
             Message::Forwarded(batches) => {
                 self.last_relay_received.set(Some(Instant::now()));
                 let ids = batches.iter();
-                let ids = ids.map(|batch| (batch.teller.life(), batch.sequence));
-                self.pending.borrow_mut().passed_on(ids);
+                let ids = ids.map(|batch| (batch.origin.incarnation_id(), batch.sequence));
+                self.pending.borrow_mut().remove_forwarded(ids);
                 for batch in &batches {
                     self.apply_batch(batch).await;
                 }
             }
             Message::LoadSnapshot(updates) => {
-                self.apply_updates(sender.life(), updates, from).await
+                self.apply_updates(sender.incarnation_id(), updates, from)
+                    .await
             }
             Message::RequestLoadSnapshot => self.send_load_snapshot(from).await,
             Message::Query(nonce, after) => {
@@ -325,10 +330,15 @@
         }
     }
 
-    async fn apply_updates(&self, incarnation: Life, updates: Vec<News>, from: SocketAddr) {
+    async fn apply_updates(
+        &self,
+        incarnation: IncarnationId,
+        updates: Vec<LoadUpdate>,
+        from: SocketAddr,
+    ) {
         let mut has_unknown = false;
         for update in updates {
-            has_unknown |= self.upstreams.hear(incarnation, update);
+            has_unknown |= self.upstreams.apply_update(incarnation, update);
         }
         if has_unknown {
             self.send(self.datagram(Message::RequestLoadSnapshot), from)
@@ -337,8 +347,8 @@
     }
 
     /// This daemon and its incarnation, as the origin of a message.
-    fn own_origin(&self) -> Teller {
-        Teller {
+    fn own_origin(&self) -> Origin {
+        Origin {
             daemon: self.daemon_hash,
             incarnation: self.peers.incarnation(),
             address: self.own_address.ip(),
--- a/crates/gateway/src/state_exchange/broadcast.rs
+++ b/crates/gateway/src/state_exchange/broadcast.rs
@@ -8,8 +8,8 @@
 use compio::runtime::spawn;
 use futures_channel::mpsc::UnboundedReceiver;
 use futures_util::StreamExt;
-use mangofront_dissemination::{Paths, RELAY_SILENCE, Scope, Telling};
-use mangofront_engines::News;
+use mangofront_dissemination::{Batch, RELAY_TIMEOUT, Scope, Topology};
+use mangofront_engines::LoadUpdate;
 
 use super::StateExchange;
 use crate::datagram::{Message, split_into_datagrams};
@@ -19,56 +19,56 @@
 
 impl StateExchange {
     /// Broadcasts the updates that arrive in `queue`, forever.
-    pub async fn broadcast(self: Rc<Self>, mut queue: UnboundedReceiver<News>) {
+    pub async fn broadcast(self: Rc<Self>, mut queue: UnboundedReceiver<LoadUpdate>) {
         while let Some(first) = queue.next().await {
             let mut updates = vec![first];
             while let Ok(next) = queue.try_recv() {
                 updates.push(next);
             }
-            let paths = self.paths();
-            if paths.is_relayed(self.relay_from_daemons) {
-                self.broadcast_by_relays(updates, &paths).await;
+            let topology = self.topology();
+            if topology.uses_relays(self.relay_from_daemons) {
+                self.broadcast_by_relays(updates, &topology).await;
             } else {
-                self.broadcast_directly(updates, &paths).await;
+                self.broadcast_directly(updates, &topology).await;
             }
         }
     }
 
-    async fn broadcast_directly(&self, updates: Vec<News>, paths: &Paths) {
+    async fn broadcast_directly(&self, updates: Vec<LoadUpdate>, topology: &Topology) {
         for part in split_into_datagrams(updates) {
             let message = Message::LoadUpdates(self.next_sequence(), part);
-            self.send_all(message, &paths.others).await;
+            self.send_all(message, &topology.peers).await;
         }
     }
 
     /// Sends updates to the relays of the zone; also broadcasts them directly while nothing
     /// has been received from a relay.
-    async fn broadcast_by_relays(self: &Rc<Self>, updates: Vec<News>, paths: &Paths) {
-        let is_recent = |at: Instant| at.elapsed() < RELAY_SILENCE;
-        let Some(slice) = paths.slice(paths.slice_of(self.daemon_hash)) else {
-            return self.broadcast_directly(updates, paths).await;
+    async fn broadcast_by_relays(self: &Rc<Self>, updates: Vec<LoadUpdate>, topology: &Topology) {
+        let is_recent = |at: Instant| at.elapsed() < RELAY_TIMEOUT;
+        let Some(shard) = topology.shard(topology.shard_of(self.daemon_hash)) else {
+            return self.broadcast_directly(updates, topology).await;
         };
-        if slice.rank.is_none() && !self.last_relay_received.get().is_some_and(is_recent) {
-            self.broadcast_directly(updates.clone(), paths).await;
+        if shard.rank.is_none() && !self.last_relay_received.get().is_some_and(is_recent) {
+            self.broadcast_directly(updates.clone(), topology).await;
         }
         for part in split_into_datagrams(updates) {
-            let batch = Telling {
-                teller: self.own_origin(),
+            let batch = Batch {
+                origin: self.own_origin(),
                 sequence: self.next_sequence(),
-                news: part,
+                updates: part,
             };
-            if let Some(rank) = slice.rank {
+            if let Some(rank) = shard.rank {
                 self.enqueue(batch.clone(), Scope::Fleet, rank);
             }
             let message = Message::Forward(Scope::Fleet, vec![batch]);
-            self.send_all(message, &slice.relays).await;
+            self.send_all(message, &shard.relays).await;
         }
     }
 
     /// Queues a batch until it is forwarded.
-    pub(super) fn enqueue(self: &Rc<Self>, batch: Telling<News>, scope: Scope, rank: usize) {
+    pub(super) fn enqueue(self: &Rc<Self>, batch: Batch<LoadUpdate>, scope: Scope, rank: usize) {
         let now = Instant::now();
-        self.pending.borrow_mut().hold(batch, scope, rank, now);
+        self.pending.borrow_mut().add(batch, scope, rank, now);
         if !self.is_forwarding.replace(true) {
             spawn(Rc::clone(self).forward_pending()).detach();
         }
@@ -83,28 +83,36 @@
             };
             compio::time::sleep_until(due).await;
             let due = self.pending.borrow_mut().take_due(Instant::now());
-            let paths = self.paths();
-            self.forward_to_other_zones(&due, &paths).await;
+            let topology = self.topology();
+            self.forward_to_other_zones(&due, &topology).await;
             let all = due.into_iter().map(|(_, batch)| batch).collect();
             for part in split_into_datagrams(all) {
-                self.send_all(Message::Forwarded(part), &paths.zone).await;
+                self.send_all(Message::Forwarded(part), &topology.zone_peers)
+                    .await;
             }
         }
     }
 
     /// Forwards batches that have not left this zone to the relays of the other zones.
-    async fn forward_to_other_zones(&self, due: &[(Scope, Telling<News>)], paths: &Paths) {
-        let mut by_slice: BTreeMap<usize, Vec<Telling<News>>> = BTreeMap::new();
+    async fn forward_to_other_zones(
+        &self,
+        due: &[(Scope, Batch<LoadUpdate>)],
+        topology: &Topology,
+    ) {
+        let mut by_shard: BTreeMap<usize, Vec<Batch<LoadUpdate>>> = BTreeMap::new();
         let fleet_wide = due.iter().filter(|(scope, _)| *scope == Scope::Fleet);
         for (_, batch) in fleet_wide {
-            let slice = paths.slice_of(batch.teller.daemon);
-            by_slice.entry(slice).or_default().push(batch.clone());
+            let shard = topology.shard_of(batch.origin.daemon);
+            by_shard.entry(shard).or_default().push(batch.clone());
         }
-        for (slice, batches) in by_slice {
-            let far_relays = paths.slice(slice).map(|slice| slice.far_relays.as_slice());
+        for (shard, batches) in by_shard {
+            let remote_relays = topology
+                .shard(shard)
+                .map(|shard| shard.remote_relays.as_slice());
             for part in split_into_datagrams(batches) {
                 let message = Message::Forward(Scope::Zone, part);
-                self.send_all(message, far_relays.unwrap_or_default()).await;
+                self.send_all(message, remote_relays.unwrap_or_default())
+                    .await;
             }
         }
     }
@@ -118,24 +126,24 @@
         compio::time::sleep(REBROADCAST_PERIOD.mul_f64(phase)).await;
         loop {
             compio::time::sleep(REBROADCAST_PERIOD).await;
-            self.upstreams.tell_running();
+            self.upstreams.broadcast_running();
         }
     }
 
     /// Applies a batch; returns whether it was new.
-    pub(super) async fn apply_batch(&self, batch: &Telling<News>) -> bool {
-        let origin = &batch.teller;
+    pub(super) async fn apply_batch(&self, batch: &Batch<LoadUpdate>) -> bool {
+        let origin = &batch.origin;
         let from = SocketAddr::new(origin.address, self.own_address.port());
         if !self.record_sender(origin, from).await {
             return false;
         }
-        let incarnation = origin.life();
+        let incarnation = origin.incarnation_id();
         let is_new = self
             .sequences
             .borrow_mut()
-            .is_new(incarnation, batch.sequence);
+            .advance(incarnation, batch.sequence);
         if is_new {
-            self.apply_updates(incarnation, batch.news.clone(), from)
+            self.apply_updates(incarnation, batch.updates.clone(), from)
                 .await;
         }
         is_new
--- a/crates/gateway/src/state_exchange/incarnations.rs
+++ b/crates/gateway/src/state_exchange/incarnations.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use mangofront_dissemination::{Teller, life_of};
+use mangofront_dissemination::{Origin, incarnation_id};
 use mangofront_settings::ids::{Incarnation, InstanceId};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -27,14 +27,14 @@
 
     /// Forgets an incarnation that has ended, and its requests.
     fn forget_incarnation(&self, daemon: u64, incarnation: Incarnation) {
-        let id = life_of(daemon, incarnation);
-        self.upstreams.forget(id);
+        let id = incarnation_id(daemon, incarnation);
+        self.upstreams.remove_daemon(id);
         self.sequences.borrow_mut().forget(id);
     }
 
     /// Records the sender of a message, which was received from `from`; returns false if
     /// its incarnation has ended or it is this daemon itself.
-    pub(super) async fn record_sender(&self, other: &Teller, from: SocketAddr) -> bool {
+    pub(super) async fn record_sender(&self, other: &Origin, from: SocketAddr) -> bool {
         if other.daemon == self.daemon_hash {
             return false;
         }
@@ -42,7 +42,7 @@
         if status == IncarnationStatus::Ended {
             return false;
         }
-        self.upstreams.heard_zone(&other.zone);
+        self.upstreams.mark_zone_reachable(&other.zone);
         if status == IncarnationStatus::New {
             self.send_load_snapshot(from).await;
         }
@@ -51,7 +51,7 @@
 
     /// Records an incarnation of a daemon. The requests of an earlier incarnation ended
     /// with it and are forgotten.
-    fn record_incarnation(&self, other: &Teller) -> IncarnationStatus {
+    fn record_incarnation(&self, other: &Origin) -> IncarnationStatus {
         let mut incarnations = self.incarnations.borrow_mut();
         let before = incarnations.get(&other.daemon).copied();
         if before.is_some_and(|before| before > other.incarnation) {
--- a/crates/gateway/src/state_exchange/queries.rs
+++ b/crates/gateway/src/state_exchange/queries.rs
@@ -136,7 +136,7 @@
 
     /// Daemons that may be in touch with the source if the watchers of this zone are not.
     fn draw_fleet_group(&self) -> Vec<Member> {
-        let mut by_zone = self.peers.delegates_of_zones(WATCH_DUTY, usize::MAX);
+        let mut by_zone = self.peers.delegates_in_each_zone(WATCH_DUTY, usize::MAX);
         let mut own_zone = by_zone.remove(&self.zone).unwrap_or_default();
         let own_address = self.peers.address();
         own_zone.retain(|member| member.address != own_address);
@@ -175,7 +175,7 @@
     /// Sends changes of published values to the other daemons of the zone.
     pub(crate) async fn relay_changes(&self, relayed: Relayed) {
         let datagram = self.datagram(Message::PublishedChanges(relayed));
-        for address in &self.paths().zone {
+        for address in &self.topology().zone_peers {
             self.send(datagram.clone(), *address).await;
         }
     }
--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use mangofront_engines::{Failure, NoUpstream, Placed};
+use mangofront_engines::{Failure, NoUpstream, Placement};
 use mangofront_routes::{ConfigurationVersion, RouteTable, Upstream, UpstreamId};
 use mangofront_settings::ids::InstanceId;
 use mangofront_telemetry::metrics::{Disposition, LengthBucket, Metrics, RequestOutcome};
@@ -147,12 +147,17 @@
 }
 
 /// A request is about to be sent to the upstreams selected for it.
-pub(crate) fn placed(call: &Call, history: &History, placed: &Placed, published: &Published) {
+pub(crate) fn request_placed(
+    call: &Call,
+    history: &History,
+    placement: &Placement,
+    published: &Published,
+) {
     let confirmation = published.confirmation();
-    let ids: Vec<&str> = placed
-        .readers
+    let ids: Vec<&str> = placement
+        .shares
         .iter()
-        .map(|reader| reader.upstream.id.as_str())
+        .map(|share| share.upstream.id.as_str())
         .collect();
     log::info!(
         request = call.id.as_str(),
@@ -163,10 +168,10 @@
         upstream = ids[0],
         helpers = ids[1..].join(" ").as_str(),
         waited_ms = milliseconds(history.waited),
-        expected_ms = milliseconds(placed.expected_first_event),
-        queue_ms = milliseconds(placed.queue),
-        daemons_heard = placed.daemons_heard,
-        oldest_news_ms = milliseconds(placed.oldest_news),
+        expected_ms = milliseconds(placement.expected_first_event),
+        queue_ms = milliseconds(placement.queue_delay),
+        daemons_heard = placement.known_daemons,
+        oldest_news_ms = milliseconds(placement.oldest_update),
         configuration_version = call.version,
         position = confirmation.map(|confirmation| confirmation.upstreams_position),
         position_age_ms = confirmation.map(|confirmation| confirmation.age_ms);
--- a/crates/gateway/src/zones.rs
+++ b/crates/gateway/src/zones.rs
@@ -37,7 +37,8 @@
     let mut silent = BTreeSet::new();
     loop {
         compio::time::sleep(CHECK_PERIOD).await;
-        let now_silent: BTreeSet<AvailabilityZone> = upstreams.silent_zones().into_iter().collect();
+        let now_silent: BTreeSet<AvailabilityZone> =
+            upstreams.unreachable_zones().into_iter().collect();
         for zone in now_silent.symmetric_difference(&silent) {
             trace::zone_changed(zone, silent.contains(zone));
         }
@@ -45,7 +46,7 @@
         if !upstreams.placed_within(ACTIVE_WINDOW) {
             continue;
         }
-        for upstream in upstreams.quiet_zones(PROBE_AFTER_QUIET) {
+        for upstream in upstreams.probe_targets(PROBE_AFTER_QUIET) {
             spawn(probe(upstream, upstreams.clone(), connections.clone())).detach();
         }
     }
@@ -60,7 +61,7 @@
         .open(&target, Instant::now() + CONNECT_TIMEOUT)
         .await;
     match opened {
-        Ok(_connection) => upstreams.heard_from(key_of(&upstream)),
+        Ok(_connection) => upstreams.received_from(key_of(&upstream)),
         Err(error) => log::debug!(
             "gateway: probe of zone {} failed: {error}",
             upstream.availability_zone
--- a/crates/gateway/tests/fleet/daemon.rs
+++ b/crates/gateway/tests/fleet/daemon.rs
@@ -42,7 +42,7 @@
 /// Silence after which a member is suspected; longer than a stall of the test process.
 const SUSPECT_AFTER: Duration = Duration::from_secs(4);
 
-const NEWS_BYTES_PER_S: u32 = 20_000;
+const GOSSIP_BYTES_PER_S: u32 = 20_000;
 
 const REGION: &str = "tuul";
 
@@ -146,8 +146,8 @@
     }
 
     /// Whether the daemon would select an upstream.
-    pub fn takes_work(&self, upstream: UpstreamKey) -> bool {
-        self.upstreams.takes_work(upstream)
+    pub fn accepts_work(&self, upstream: UpstreamKey) -> bool {
+        self.upstreams.accepts_work(upstream)
     }
 
     /// Whether the daemon sees all members of the fleet alive.
@@ -195,12 +195,12 @@
     let options = PeersOptions::builder(name(index), REGION, zone(index), listen)
         .heartbeat_period(HEARTBEAT_PERIOD)
         .suspect_after(SUSPECT_AFTER)
-        .news_bytes_per_s(NEWS_BYTES_PER_S)
+        .gossip_bytes_per_s(GOSSIP_BYTES_PER_S)
         .build();
     let exchange = Rc::clone(exchange);
     let on_change = Rc::new(move |change: MemberChange| {
         let member = &change.member;
-        if let Some(exchange) = exchange.get().filter(|_| !member.state.answers()) {
+        if let Some(exchange) = exchange.get().filter(|_| !member.state.is_responsive()) {
             exchange.remove_daemon(&member.instance);
         }
     });
--- a/crates/gateway/tests/fleet/run.rs
+++ b/crates/gateway/tests/fleet/run.rs
@@ -158,7 +158,11 @@
     fn observe(&self, observations: &mut [UpstreamObservation], started: Instant) {
         for observation in observations {
             for (index, daemon) in self.daemons.iter().enumerate() {
-                observation.record(index, daemon.takes_work(observation.key), started.elapsed());
+                observation.record(
+                    index,
+                    daemon.accepts_work(observation.key),
+                    started.elapsed(),
+                );
             }
         }
     }
@@ -205,8 +209,8 @@
         }
     }
 
-    fn record(&mut self, index: DaemonIndex, takes_work: bool, at: Duration) {
-        match takes_work {
+    fn record(&mut self, index: DaemonIndex, accepts_work: bool, at: Duration) {
+        match accepts_work {
             true => self.last_selected_at[index] = at,
             false => {
                 self.first_unselected_at[index].get_or_insert(at);
