--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -185,7 +185,7 @@
         target: call.route.target,
         elapsed: call.arrived.elapsed(),
         waited,
-        request: call.fingerprint.name(),
+        request: call.fingerprint.as_number(),
         is_refusable: history.sent == 0,
         // Requests that must not be repeated always open a new connection.
         connected: match call.route.safety.may_retry() {
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -48,14 +48,14 @@
 impl Fingerprint {
     /// The fingerprint as a number.
     #[must_use]
-    pub fn name(self) -> RequestFingerprint {
+    pub fn as_number(self) -> RequestFingerprint {
         RequestFingerprint::from_be_bytes(self.0)
     }
 }
 
 impl From<RequestFingerprint> for Fingerprint {
-    fn from(name: RequestFingerprint) -> Self {
-        Self(name.to_be_bytes())
+    fn from(number: RequestFingerprint) -> Self {
+        Self(number.to_be_bytes())
     }
 }
 
@@ -72,9 +72,9 @@
         if text.len() != 2 * LENGTH_BYTES || !is_hexadecimal {
             return Err(InvalidFingerprint);
         }
-        let name =
+        let number =
             RequestFingerprint::from_str_radix(text, 16).map_err(|_error| InvalidFingerprint)?;
-        Ok(name.into())
+        Ok(number.into())
     }
 }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -132,7 +132,11 @@
     /// Ends the quarantine of a request at all daemons; returns whether crashes were
     /// recorded under it.
     pub fn lift_quarantine(&self, fingerprint: Fingerprint) -> bool {
-        let was_recorded = self.0.parts.upstreams.clear_crashes(fingerprint.name());
+        let was_recorded = self
+            .0
+            .parts
+            .upstreams
+            .clear_crashes(fingerprint.as_number());
         if was_recorded {
             trace::request_cleared(fingerprint, "lifted by the operator");
         }
--- a/crates/gateway/src/history.rs
+++ b/crates/gateway/src/history.rs
@@ -111,7 +111,7 @@
         }
         let upstreams = &gateway.parts().upstreams;
         if matches!(error, AttemptError::ConnectionLost(_))
-            && upstreams.is_near_quarantine(call.fingerprint.name())
+            && upstreams.is_near_quarantine(call.fingerprint.as_number())
         {
             return false;
         }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -67,7 +67,7 @@
     call: &Call,
     history: &mut History,
 ) -> Result<(), AttemptError> {
-    let name = call.fingerprint.name();
+    let name = call.fingerprint.as_number();
     let upstreams = &gateway.parts().upstreams;
     match upstreams.quarantine_state(name) {
         _ if history.is_trial => Ok(()),
@@ -106,7 +106,7 @@
     let state = gateway
         .parts()
         .upstreams
-        .quarantine_state(call.fingerprint.name());
+        .quarantine_state(call.fingerprint.as_number());
     let check = check_for_crash(
         gateway.clone(),
         call.id.clone(),
@@ -124,7 +124,7 @@
     if gateway
         .parts()
         .upstreams
-        .clear_crashes(call.fingerprint.name())
+        .clear_crashes(call.fingerprint.as_number())
     {
         trace::request_cleared(call.fingerprint, "answered");
     }
@@ -146,7 +146,7 @@
     let Some(evidence) = crash_evidence(&gateway, &upstream).await else {
         return;
     };
-    let crashes = upstreams.record_crash(fingerprint.name(), key);
+    let crashes = upstreams.record_crash(fingerprint.as_number(), key);
     gateway.parts().metrics.upstream_crashed();
     trace::upstream_crashed_under(&request, fingerprint, &upstream, crashes, evidence);
 }
