--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,21 +1,18 @@
-//! Routed requests from callers to upstreams.
+//! Proxies routed requests from callers to upstreams.
 //!
-//! Owns a routed request from its head to the last byte of its answer: which
-//! route and organisation it is of (`call`), whether this daemon may serve it
-//! now (`published`, `lease`), where it is sent and what follows a failed
-//! attempt (`attempts`, `budget`, `quarantine`), and the relay of its answer (`answer`,
-//! `relay`). Bodies pass through unread. What callers, upstreams and the
-//! publishing platform speak is translated by the edges in [`Dialect`] and
-//! [`Source`]; the choice of upstreams is `mangofront-engines`', and other
-//! daemons hear of it by `sharing`.
+//! This crate handles a routed request from its head to the last byte of its answer: it
+//! finds the route and the organisation (`call`), decides whether this daemon may serve the
+//! request now (`published`, `lease`), sends it and handles failed attempts (`attempts`,
+//! `retry_budget`, `quarantine`), and relays the answer (`answer`, `relay`). Bodies are not
+//! parsed. The formats of callers, upstreams and the publishing platform are translated by
+//! [`Dialect`] and [`Source`]. `mangofront-engines` selects the upstreams, and
+//! `state_exchange` broadcasts each selection to the other daemons.
 
 mod answer;
 mod attempts;
 mod boot_clock;
-mod budget;
 mod call;
 mod confirm;
-mod contact;
 mod copies;
 mod datagram;
 mod dialect;
@@ -25,7 +22,7 @@
 mod follow;
 mod gateway;
 mod history;
-mod horizon;
+mod known_positions;
 mod lease;
 mod options;
 mod provenance;
@@ -36,13 +33,13 @@
 mod registrations;
 mod relay;
 mod reservations;
-mod sharing;
+mod retry_budget;
+mod signal;
+mod source_availability;
+mod state_exchange;
 mod trace;
-mod wakeup;
 mod zones;
 
-pub use budget::{RetryBudget, RetryLimit};
-pub use contact::{AnsweredPeriod, SourceAvailability};
 pub use datagram::{UpstreamChange, UpstreamChangeKind, UpstreamChanges};
 pub use dialect::{
     AnswerHead, AttemptHead, CallHead, CallHeadError, Change, Changes, Dialect, Entry, EventId,
@@ -51,7 +48,7 @@
 pub use events::{EventFramer, FramedEvents};
 pub use fingerprint::{Fingerprint, InvalidFingerprint};
 pub use gateway::{Gateway, GatewayParts};
-pub use horizon::KnownPositions;
+pub use known_positions::KnownPositions;
 pub use lease::Lease;
 pub use options::{GatewayOptions, GatewayOptionsBuilder};
 pub use published::Published;
@@ -60,4 +57,6 @@
 pub use registrations::{
     Record, RegisterOutcome, RegistrationState, Registrations, Removal, RemovalOutcome,
 };
-pub use sharing::{StateExchange, StateExchangeError, StateExchangeOptions};
+pub use retry_budget::{RetryBudget, RetryLimit};
+pub use source_availability::{AnsweredPeriod, SourceAvailability};
+pub use state_exchange::{StateExchange, StateExchangeError, StateExchangeOptions};
