--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -11,7 +11,7 @@
 
 /// Share of the key lease after which requests with a key are refused.
 ///
-/// The rest covers a second in which a watch misses a change.
+/// The rest covers a second in which a watch does not report a change.
 const KEY_LEASE_SHARE: f64 = 0.74;
 
 /// Share of the key lease after which the daemon reports that it is not ready.
