--- a/crates/daemon/src/feeds.rs
+++ b/crates/daemon/src/feeds.rs
@@ -58,7 +58,7 @@
     let addresses: HashSet<SocketAddr> = instances.iter().filter_map(upstream_address).collect();
     parts
         .connections
-        .retain(|address| addresses.contains(address));
+        .retain_idle(|address| addresses.contains(address));
 }
 
 fn engine_info(instance: &Instance) -> Option<EngineInfo> {
--- a/crates/entry/src/completion/attempts.rs
+++ b/crates/entry/src/completion/attempts.rs
@@ -241,7 +241,10 @@
     /// long prompt. Taking the stream up on another connection tells it from
     /// one that is gone or frozen, and costs no work that was done.
     async fn recover(&mut self, mut running: Running, error: SendError) -> Result<(), EntryError> {
-        let resumable = matches!(error, SendError::Broken { .. } | SendError::Timeout { .. });
+        let resumable = matches!(
+            error,
+            SendError::ConnectionFailed { .. } | SendError::Timeout { .. }
+        );
         let stream_id = running.stream.stream_id().map(str::to_owned);
         let Some(stream_id) = stream_id.filter(|_| resumable) else {
             drop(running);
--- a/crates/entry/src/completion/retries.rs
+++ b/crates/entry/src/completion/retries.rs
@@ -124,7 +124,7 @@
 /// What a failed attempt says of its engine.
 pub(super) fn engine_outcome(error: &SendError) -> EngineOutcome {
     match error {
-        SendError::Broken { step, .. } | SendError::Timeout { step, .. }
+        SendError::ConnectionFailed { step, .. } | SendError::Timeout { step, .. }
             if *step == Step::Connect =>
         {
             EngineOutcome::Unreachable
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -84,7 +84,7 @@
             Self::UnknownModel { .. } => "unknown_model",
             Self::UnknownService { .. } => "unknown_service",
             Self::Body(BodyError::TooLarge { .. }) => "body_too_large",
-            Self::Body(BodyError::Broken(_)) => "body_broken",
+            Self::Body(BodyError::Interrupted(_)) => "body_broken",
             Self::BodyTimeout => "body_timeout",
             Self::Prompt(_) => "malformed_request",
             Self::NoConfiguration => "no_configuration",
@@ -144,7 +144,7 @@
             Self::MissingHeader { .. }
             | Self::BadHeader { .. }
             | Self::UnknownClass { .. }
-            | Self::Body(BodyError::Broken(_))
+            | Self::Body(BodyError::Interrupted(_))
             | Self::Prompt(_)
             | Self::KeyRequired => StatusCode::BAD_REQUEST,
             Self::Body(BodyError::TooLarge { .. }) => StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/entry/src/service/order.rs
+++ b/crates/entry/src/service/order.rs
@@ -16,7 +16,7 @@
     StoredBody,
 };
 use mangofront_telemetry::invariants::{Invariant, check};
-use mangofront_upstream::Opened;
+use mangofront_upstream::FreshConnection;
 use mangofront_upstream::service::{ServiceAnswer, call_once};
 
 use super::{ServiceCall, targets};
@@ -114,7 +114,7 @@
 }
 
 /// Opens a connection to the first instance of the service that takes one.
-async fn open(entry: &Entry, service_call: &ServiceCall) -> Result<Opened, String> {
+async fn open(entry: &Entry, service_call: &ServiceCall) -> Result<FreshConnection, String> {
     let parts = entry.parts();
     let mut reason = "no instance of the service takes work".to_owned();
     parts.platform.refreshed().await;
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -168,7 +168,7 @@
             })
         }
         Err(_) if call.time_left().is_zero() => Err(Failed::OutOfTime),
-        Err(error @ SendError::Broken { .. }) => Err(Failed::Broken(error.to_string())),
+        Err(error @ SendError::ConnectionFailed { .. }) => Err(Failed::Broken(error.to_string())),
         Err(error) => Err(Failed::MayHaveRun(error.to_string())),
     }
 }
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -16,7 +16,7 @@
 use mangofront_engines::{Demand, Failure, NoUpstream, Placement, Share, UpstreamKey, key_of};
 use mangofront_http::Outcome;
 use mangofront_routes::{RetrySafety, Upstream};
-use mangofront_upstream::{Answer, Connections, SendError, Target};
+use mangofront_upstream::{Connections, SendError, Target, UpstreamResponse};
 
 use crate::call::Call;
 use crate::dialect::{AnswerHead, AttemptHead, EventId, Helper};
@@ -55,7 +55,7 @@
 /// An upstream that answers.
 #[derive(Debug)]
 pub(crate) struct Answering {
-    pub(crate) answer: Answer,
+    pub(crate) answer: UpstreamResponse,
     pub(crate) placed: Placement,
     pub(crate) upstream: Upstream,
     /// Held as long as the request uses them.
@@ -177,7 +177,7 @@
         is_refusable: history.sent == 0,
         // Others open one of their own in any case.
         connected: match call.route.safety.may_retry() {
-            true => connections.unused(),
+            true => connections.idle_addresses(),
             false => HashSet::new(),
         },
         time_left: call.time_left(),
@@ -280,7 +280,7 @@
     request: Request<Full<Bytes>>,
     patience: Duration,
     history: &mut History,
-) -> Result<Answer, SendError> {
+) -> Result<UpstreamResponse, SendError> {
     let connections = &gateway.parts().connections;
     let target = Target {
         instance: upstream.id.clone(),
@@ -316,9 +316,9 @@
     gateway: &Gateway,
     call: &Call,
     upstream: &Upstream,
-    answer: Answer,
+    answer: UpstreamResponse,
     history: &mut History,
-) -> Result<Answer, Failed> {
+) -> Result<UpstreamResponse, Failed> {
     let head = gateway
         .parts()
         .dialect
@@ -364,7 +364,9 @@
     match error {
         SendError::Withdrawn { .. } => {}
         SendError::Timeout { .. } => gateway.leave_out(key, Failure::Silent, &call.id),
-        SendError::Broken { .. } | SendError::Refused { .. } | SendError::Protocol { .. } => {
+        SendError::ConnectionFailed { .. }
+        | SendError::Refused { .. }
+        | SendError::Protocol { .. } => {
             gateway.leave_out(key, Failure::Unreachable, &call.id);
         }
     }
@@ -375,7 +377,7 @@
         return Failed::OutOfTime;
     }
     match error {
-        SendError::Broken { .. } => Failed::Broken(error.to_string()),
+        SendError::ConnectionFailed { .. } => Failed::Broken(error.to_string()),
         _ => Failed::MayHaveRun(error.to_string()),
     }
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -89,7 +89,7 @@
     let served = match (admitted, body) {
         (Err(refusal), _) => Err(refusal),
         (Ok(_), Err(BodyError::TooLarge { .. })) => Err(Refusal::BodyTooLarge),
-        (Ok(_), Err(BodyError::Broken(_))) => Err(Refusal::BodyBroken),
+        (Ok(_), Err(BodyError::Interrupted(_))) => Err(Refusal::BodyBroken),
         (Ok(admitted), Ok(body)) => Ok((admitted, body)),
     };
     let mut response = match served {
--- a/crates/gateway/src/published.rs
+++ b/crates/gateway/src/published.rs
@@ -453,7 +453,7 @@
         for restarted in self.0.upstreams.set_published(usable, &figures) {
             trace::upstream_restarted(&restarted);
             let address = restarted.address;
-            self.0.connections.retain(|other| *other != address);
+            self.0.connections.retain_idle(|other| *other != address);
         }
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -183,7 +183,7 @@
     match gateway.parts().connections.open(&target, deadline).await {
         Ok(opened) => {
             compio::time::sleep(SETTLING_TIME).await;
-            match opened.keep() {
+            match opened.return_to_pool() {
                 true => Look::Serves,
                 false => Look::Closes,
             }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -87,7 +87,7 @@
     },
     /// Connection broke before the body's end.
     #[error("body broke off: {0}")]
-    Broken(String),
+    Interrupted(String),
 }
 
 /// Body without content.
@@ -135,7 +135,7 @@
 /// Reads a request's body whole, up to `limit_bytes`.
 ///
 /// # Errors
-/// [`BodyError::TooLarge`] past the limit, [`BodyError::Broken`] when the
+/// [`BodyError::TooLarge`] past the limit, [`BodyError::Interrupted`] when the
 /// connection ends early.
 pub async fn collect(body: Incoming, limit_bytes: usize) -> Result<Bytes, BodyError> {
     match Limited::new(body, limit_bytes).collect().await {
@@ -143,6 +143,6 @@
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
             Err(BodyError::TooLarge { limit_bytes })
         }
-        Err(error) => Err(BodyError::Broken(error.to_string())),
+        Err(error) => Err(BodyError::Interrupted(error.to_string())),
     }
 }
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -16,7 +16,7 @@
 use thiserror::Error;
 
 use crate::body::Body;
-use crate::serve::{Ends, ServeLimits};
+use crate::serve::{ServeLimits, StopSignals};
 use crate::stall::WatchedWriter;
 
 /// Time that a planned stop leaves a new connection for its first request.
@@ -44,7 +44,7 @@
     peer: SocketAddr,
     limits: ServeLimits,
     handler: Rc<H>,
-    ends: Ends,
+    ends: StopSignals,
 ) where
     H: Fn(Request<Incoming>, SocketAddr) -> A + 'static,
     A: Future<Output = Result<Response<Body>, Aborted>> + 'static,
@@ -76,7 +76,7 @@
     peer: SocketAddr,
     limits: ServeLimits,
     handler: Rc<H>,
-    ends: &Ends,
+    ends: &StopSignals,
 ) -> Result<(), hyper::Error>
 where
     H: Fn(Request<Incoming>, SocketAddr) -> A + 'static,
--- a/crates/http/src/events.rs
+++ b/crates/http/src/events.rs
@@ -18,7 +18,7 @@
 pub enum EventsError {
     /// Connection broke.
     #[error("event stream broke: {0}")]
-    Broken(String),
+    Interrupted(String),
     /// Bytes are no event stream.
     #[error("event stream is malformed: {0}")]
     Malformed(String),
@@ -41,7 +41,7 @@
             data: event.data,
         }),
         Err(eventsource_stream::EventStreamError::Transport(error)) => {
-            Err(EventsError::Broken(error.to_string()))
+            Err(EventsError::Interrupted(error.to_string()))
         }
         Err(error) => Err(EventsError::Malformed(error.to_string())),
     })
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -20,7 +20,7 @@
 pub use connection::Aborted;
 pub use error::{ErrorBody, ErrorDetail, Outcome};
 pub use events::{Event, EventsError, events};
-pub use serve::{Ends, ServeLimits, serve, serve_abortable};
+pub use serve::{ServeLimits, StopSignals, serve, serve_abortable};
 pub use shutdown::{Shutdown, ShutdownTrigger};
 
 /// Names of the headers of the interfaces, see `docs/interfaces.md`.
--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -58,7 +58,7 @@
 
 /// Two ways in which a server ends.
 #[derive(Debug, Clone)]
-pub struct Ends {
+pub struct StopSignals {
     /// Graceful shutdown: answers in progress are ended whole.
     pub shutdown: Shutdown,
     /// Abort: connections are dropped at once, in the middle of an answer.
@@ -82,7 +82,7 @@
     };
     // Held to the end: a dropped trigger would be an abort.
     let (never, abort) = Shutdown::new();
-    serve_abortable(listener, limits, handler, Ends { shutdown, abort }).await;
+    serve_abortable(listener, limits, handler, StopSignals { shutdown, abort }).await;
     drop(never);
 }
 
@@ -92,7 +92,7 @@
     listener: TcpListener,
     limits: ServeLimits,
     handler: H,
-    ends: Ends,
+    ends: StopSignals,
 ) where
     H: Fn(Request<Incoming>, SocketAddr) -> A + 'static,
     A: Future<Output = Result<Response<Body>, Aborted>> + 'static,
@@ -137,7 +137,7 @@
 /// The next connection; none once the server has to end.
 async fn accept(
     listener: &TcpListener,
-    ends: &Ends,
+    ends: &StopSignals,
 ) -> Option<io::Result<(TcpStream, SocketAddr)>> {
     let stopped = pin!(ends.shutdown.wait());
     let aborted = pin!(ends.abort.wait());
--- a/crates/http/tests/serve.rs
+++ b/crates/http/tests/serve.rs
@@ -13,8 +13,8 @@
 use http::{Request, Response};
 use hyper::body::Incoming;
 use mangofront_http::{
-    Aborted, Body, Ends, ServeLimits, Shutdown, ShutdownTrigger, full, serve, serve_abortable,
-    stream,
+    Aborted, Body, ServeLimits, Shutdown, ShutdownTrigger, StopSignals, full, serve,
+    serve_abortable, stream,
 };
 
 /// Generous: the tests fail after it, and pass as soon as they can.
@@ -86,7 +86,7 @@
     listener: TcpListener,
     limits: ServeLimits,
     answer: Result<Body, Aborted>,
-    ends: Ends,
+    ends: StopSignals,
 ) {
     let answer = RefCell::new(Some(answer));
     let handler = move |_: Request<Incoming>, _| {
@@ -96,10 +96,10 @@
     compio::runtime::spawn(serve_abortable(listener, limits, handler, ends)).detach();
 }
 
-fn ends() -> (ShutdownTrigger, ShutdownTrigger, Ends) {
+fn ends() -> (ShutdownTrigger, ShutdownTrigger, StopSignals) {
     let (stop, shutdown) = Shutdown::new();
     let (kill, abort) = Shutdown::new();
-    (stop, kill, Ends { shutdown, abort })
+    (stop, kill, StopSignals { shutdown, abort })
 }
 
 #[compio::test]
--- a/crates/orders/src/client.rs
+++ b/crates/orders/src/client.rs
@@ -6,7 +6,7 @@
 use http::{Method, Request, header};
 use http_body_util::Full;
 use mangofront_http::ErrorBody;
-use mangofront_upstream::{Connections, Opened, SendError, Target, engine};
+use mangofront_upstream::{Connections, FreshConnection, SendError, Target, engine};
 
 use crate::change::OrderOutcome;
 use crate::error::OrderError;
@@ -41,7 +41,7 @@
     connections: &Connections,
     target: &Target,
     deadline: Instant,
-) -> Result<Opened, OrderError> {
+) -> Result<FreshConnection, OrderError> {
     let opened = connections.open(target, deadline).await;
     opened.map_err(|cause| OrderError::Call {
         step: "open",
@@ -75,7 +75,7 @@
 
 /// Sends an order and waits for the answer.
 pub(crate) async fn send(
-    opened: Opened,
+    opened: FreshConnection,
     request: Request<Full<Bytes>>,
     deadline: Instant,
 ) -> OrderOutcome {
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -8,7 +8,7 @@
 
 use compio::net::TcpListener;
 use compio::runtime::JoinHandle;
-use mangofront_http::{Ends, Shutdown, serve_abortable};
+use mangofront_http::{Shutdown, StopSignals, serve_abortable};
 
 mod batch;
 mod cache_events;
@@ -47,7 +47,7 @@
         let answer = routes::answer(Rc::clone(&engine), request);
         async move { Ok(answer.await) }
     };
-    let ends = Ends {
+    let ends = StopSignals {
         shutdown,
         abort: death,
     };
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -14,7 +14,7 @@
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
 use mangofront_http::{
-    Aborted, Body, Ends, ErrorBody, Outcome, Shutdown, headers, serve_abortable,
+    Aborted, Body, ErrorBody, Outcome, Shutdown, StopSignals, headers, serve_abortable,
 };
 use serde::{Deserialize, Serialize};
 
@@ -102,7 +102,7 @@
     };
     // Only single connections are cut off: nothing aborts the whole service.
     let (never, abort) = Shutdown::new();
-    serve_abortable(listener, LIMITS, handler, Ends { shutdown, abort }).await;
+    serve_abortable(listener, LIMITS, handler, StopSignals { shutdown, abort }).await;
     drop(never);
 }
 
--- a/crates/upstream/src/connection/answer.rs
+++ b/crates/upstream/src/connection/answer.rs
@@ -20,7 +20,7 @@
 /// Invariant: `sender` goes back only once the body was read to its end;
 /// dropped before, it closes the connection.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Status of the answer.
     pub status: StatusCode,
     /// Headers of the answer.
@@ -31,7 +31,7 @@
     connections: Connections,
 }
 
-impl Answer {
+impl UpstreamResponse {
     pub(super) fn new(
         connections: &Connections,
         target: &Target,
@@ -68,7 +68,7 @@
                 self.release();
                 Ok(collected.to_bytes())
             }
-            Err(error) => Err(SendError::Broken {
+            Err(error) => Err(SendError::ConnectionFailed {
                 step: Step::Body,
                 peer: self.target.instance.clone(),
                 cause: error.to_string(),
--- a/crates/upstream/src/connection/mod.rs
+++ b/crates/upstream/src/connection/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A connection serves one call at a time. It is reused only after an answer
 //! was read to its end, so a late byte of an abandoned answer can never reach
-//! another call: an [`Answer`] dropped early closes its connection. Calls that
+//! another call: an [`UpstreamResponse`] dropped early closes its connection. Calls that
 //! may not repeat never take a used connection, because a connection closed by
 //! its other end in the same moment would leave it open whether they ran.
 
@@ -27,7 +27,7 @@
 use crate::error::{SendError, Step};
 use crate::traffic::ControlTraffic;
 
-pub use answer::Answer;
+pub use answer::UpstreamResponse;
 
 use idle::IdleConnections;
 
@@ -92,7 +92,7 @@
         target: &Target,
         request: Request<Full<Bytes>>,
         deadline: Instant,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<UpstreamResponse, SendError> {
         self.send_if(target, request, deadline, || true).await
     }
 
@@ -108,7 +108,7 @@
         mut request: Request<Full<Bytes>>,
         deadline: Instant,
         is_wanted: impl Fn() -> bool,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<UpstreamResponse, SendError> {
         while let Some(mut sender) = self.0.idle.take(target.address) {
             if !is_wanted() {
                 return Err(withdrawn(target));
@@ -120,7 +120,7 @@
                 sender.try_send_request(request),
             );
             match sent.await? {
-                Ok(response) => return Ok(Answer::new(self, target, sender, response)),
+                Ok(response) => return Ok(UpstreamResponse::new(self, target, sender, response)),
                 Err(mut error) => match error.take_message() {
                     // Unwritten: the connection was closed while unused.
                     Some(unwritten) => request = unwritten,
@@ -136,9 +136,13 @@
     ///
     /// # Errors
     /// [`SendError`] when it is not open by `deadline`; no call was written.
-    pub async fn open(&self, target: &Target, deadline: Instant) -> Result<Opened, SendError> {
+    pub async fn open(
+        &self,
+        target: &Target,
+        deadline: Instant,
+    ) -> Result<FreshConnection, SendError> {
         let sender = self.connect(target, deadline).await?;
-        Ok(Opened {
+        Ok(FreshConnection {
             sender,
             target: target.clone(),
             connections: self.clone(),
@@ -186,25 +190,25 @@
 
     /// Addresses to which a connection is open that no call uses.
     #[must_use]
-    pub fn unused(&self) -> HashSet<SocketAddr> {
+    pub fn idle_addresses(&self) -> HashSet<SocketAddr> {
         self.0.idle.addresses()
     }
 
     /// Closes the unused connections to addresses that `keep` does not name.
-    pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
+    pub fn retain_idle(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.0.idle.retain(keep);
     }
 }
 
 /// A connection that has carried nothing yet.
 #[derive(Debug)]
-pub struct Opened {
+pub struct FreshConnection {
     sender: Sender,
     target: Target,
     connections: Connections,
 }
 
-impl Opened {
+impl FreshConnection {
     /// Sends a call; the only one that this value can send.
     ///
     /// # Errors
@@ -213,7 +217,7 @@
         self,
         request: Request<Full<Bytes>>,
         deadline: Instant,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<UpstreamResponse, SendError> {
         self.send_if(request, deadline, || true).await
     }
 
@@ -227,7 +231,7 @@
         request: Request<Full<Bytes>>,
         deadline: Instant,
         is_wanted: impl Fn() -> bool,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<UpstreamResponse, SendError> {
         if !is_wanted() {
             return Err(withdrawn(&self.target));
         }
@@ -235,7 +239,7 @@
         match within(deadline, &self.target, Step::Head, sending).await? {
             Ok(response) => {
                 let connections = &self.connections;
-                Ok(Answer::new(
+                Ok(UpstreamResponse::new(
                     connections,
                     &self.target,
                     self.sender,
@@ -253,7 +257,7 @@
     }
 
     /// Keeps the connection for a later call; whether it is still open.
-    pub fn keep(self) -> bool {
+    pub fn return_to_pool(self) -> bool {
         let is_open = !self.sender.is_closed();
         let idle = &self.connections.0.idle;
         idle.put(self.target.address, self.sender, None);
@@ -296,7 +300,7 @@
         Some(source) => format!("{error}: {source}"),
         None => error.to_string(),
     };
-    SendError::Broken {
+    SendError::ConnectionFailed {
         step,
         peer: target.instance.clone(),
         cause,
--- a/crates/upstream/src/engine/json.rs
+++ b/crates/upstream/src/engine/json.rs
@@ -8,7 +8,7 @@
 use mangofront_http::{ErrorBody, Outcome};
 
 use crate::Target;
-use crate::connection::{Answer, Connections};
+use crate::connection::{Connections, UpstreamResponse};
 use crate::error::SendError;
 use crate::traffic::{ControlTraffic, answer_head_bytes, request_bytes};
 
@@ -90,7 +90,11 @@
 }
 
 /// Error that an engine gave with its answer's head.
-pub(super) async fn refusal(target: &Target, answer: Answer, deadline: Instant) -> SendError {
+pub(super) async fn refusal(
+    target: &Target,
+    answer: UpstreamResponse,
+    deadline: Instant,
+) -> SendError {
     let status = answer.status;
     let content = answer
         .bytes(ERROR_LIMIT_BYTES, deadline)
--- a/crates/upstream/src/engine/stream.rs
+++ b/crates/upstream/src/engine/stream.rs
@@ -15,7 +15,7 @@
 use super::attempt::{Attempt, Generate, RequestId};
 use super::cancel::CancelGuard;
 use crate::Target;
-use crate::connection::{Answer, within};
+use crate::connection::{UpstreamResponse, within};
 use crate::error::{SendError, Step};
 
 /// Time for an engine to end its stream after the last token.
@@ -85,7 +85,12 @@
 }
 
 impl EngineStream {
-    pub(super) fn new(target: &Target, call: Generate, answer: Answer, guard: CancelGuard) -> Self {
+    pub(super) fn new(
+        target: &Target,
+        call: Generate,
+        answer: UpstreamResponse,
+        guard: CancelGuard,
+    ) -> Self {
         let stream = answer
             .headers
             .get(headers::STREAM_ID)
@@ -169,7 +174,7 @@
     }
 
     fn broken(&self, cause: String) -> SendError {
-        SendError::Broken {
+        SendError::ConnectionFailed {
             step: Step::Body,
             peer: self.target.instance.clone(),
             cause,
--- a/crates/upstream/src/error.rs
+++ b/crates/upstream/src/error.rs
@@ -36,7 +36,7 @@
 pub enum SendError {
     /// Connection failed.
     #[error("{} to {peer} failed: {cause}", step.name())]
-    Broken {
+    ConnectionFailed {
         /// Step at which it failed.
         step: Step,
         /// Instance called.
@@ -86,7 +86,7 @@
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         match self {
-            Self::Broken {
+            Self::ConnectionFailed {
                 step: Step::Connect | Step::Send,
                 ..
             }
@@ -96,7 +96,9 @@
             }
             | Self::Withdrawn { .. } => Outcome::NotRun,
             Self::Refused { detail, .. } => detail.outcome,
-            Self::Broken { .. } | Self::Timeout { .. } | Self::Protocol { .. } => Outcome::Unknown,
+            Self::ConnectionFailed { .. } | Self::Timeout { .. } | Self::Protocol { .. } => {
+                Outcome::Unknown
+            }
         }
     }
 
@@ -104,7 +106,7 @@
     #[must_use]
     pub fn peer(&self) -> &InstanceId {
         match self {
-            Self::Broken { peer, .. }
+            Self::ConnectionFailed { peer, .. }
             | Self::Timeout { peer, .. }
             | Self::Refused { peer, .. }
             | Self::Withdrawn { peer }
@@ -116,7 +118,7 @@
     #[must_use]
     pub fn step_name(&self) -> &'static str {
         match self {
-            Self::Broken { step, .. } | Self::Timeout { step, .. } => step.name(),
+            Self::ConnectionFailed { step, .. } | Self::Timeout { step, .. } => step.name(),
             Self::Refused { .. } => "refused",
             Self::Withdrawn { .. } => "withdrawn",
             Self::Protocol { .. } => "protocol",
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod service;
 mod traffic;
 
-pub use connection::{Answer, Connections, ConnectionsOptions, Opened};
+pub use connection::{Connections, ConnectionsOptions, FreshConnection, UpstreamResponse};
 pub use error::{SendError, Step};
 pub use traffic::ControlTraffic;
 
--- a/crates/upstream/src/service.rs
+++ b/crates/upstream/src/service.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 
 use crate::Target;
-use crate::connection::{Answer, Connections, Opened};
+use crate::connection::{Connections, FreshConnection, UpstreamResponse};
 use crate::error::SendError;
 
 /// Headers that belong to one connection and are not passed on.
@@ -69,7 +69,7 @@
 /// # Errors
 /// [`SendError`]; its outcome tells whether the call may have run.
 pub async fn call_once(
-    opened: Opened,
+    opened: FreshConnection,
     call: Call,
     limit_bytes: usize,
     deadline: Instant,
@@ -80,7 +80,7 @@
 }
 
 async fn read(
-    answer: Answer,
+    answer: UpstreamResponse,
     limit_bytes: usize,
     deadline: Instant,
 ) -> Result<ServiceAnswer, SendError> {
@@ -99,7 +99,7 @@
         .method(call.method)
         .uri(call.path_and_query)
         .body(Full::new(call.body))
-        .map_err(|error| SendError::Broken {
+        .map_err(|error| SendError::ConnectionFailed {
             step: crate::Step::Send,
             peer: target.instance.clone(),
             cause: error.to_string(),
--- a/crates/upstream/tests/connections.rs
+++ b/crates/upstream/tests/connections.rs
@@ -71,7 +71,7 @@
     assert!(
         matches!(
             error,
-            SendError::Broken {
+            SendError::ConnectionFailed {
                 step: Step::Connect,
                 ..
             }
--- a/crates/upstream/tests/engine.rs
+++ b/crates/upstream/tests/engine.rs
@@ -115,7 +115,10 @@
     let mut stream = start(&connections(), &server).await.unwrap();
     stream.next(deadline()).await.unwrap();
     let error = stream.next(deadline()).await.unwrap_err();
-    assert!(matches!(error, SendError::Broken { .. }), "{error:?}");
+    assert!(
+        matches!(error, SendError::ConnectionFailed { .. }),
+        "{error:?}"
+    );
 }
 
 #[compio::test]
