--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Response bodies of the servers and bounded reading of request bodies.
+//! Response bodies, and reading of request bodies up to a size limit.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -14,27 +14,27 @@
 
 use crate::connection::Aborted;
 
-type LocalStream = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, Aborted>>>>;
+type BoxedFrames = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, Aborted>>>>;
 
-/// Body of a response: nothing, one buffer, or a stream of chunks.
+/// Body of a response: empty, one buffer, or a stream of chunks.
 #[derive(Debug)]
-pub struct Body(Kind);
+pub struct Body(Inner);
 
 #[derive(Debug)]
-enum Kind {
+enum Inner {
     Buffer(BoxBody<Bytes, Infallible>),
-    Stream(StreamBody<DebugStream>),
+    Stream(StreamBody<FrameStream>),
 }
 
-struct DebugStream(LocalStream);
+struct FrameStream(BoxedFrames);
 
-impl std::fmt::Debug for DebugStream {
+impl std::fmt::Debug for FrameStream {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Stream")
     }
 }
 
-impl Stream for DebugStream {
+impl Stream for FrameStream {
     type Item = Result<Frame<Bytes>, Aborted>;
 
     fn poll_next(
@@ -54,38 +54,38 @@
         cx: &mut std::task::Context<'_>,
     ) -> std::task::Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match &mut self.get_mut().0 {
-            Kind::Buffer(body) => Pin::new(body)
+            Inner::Buffer(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
-            Kind::Stream(body) => Pin::new(body).poll_frame(cx),
+            Inner::Stream(body) => Pin::new(body).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.0 {
-            Kind::Buffer(body) => body.is_end_stream(),
-            Kind::Stream(body) => body.is_end_stream(),
+            Inner::Buffer(body) => body.is_end_stream(),
+            Inner::Stream(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> hyper::body::SizeHint {
         match &self.0 {
-            Kind::Buffer(body) => body.size_hint(),
-            Kind::Stream(body) => hyper::body::Body::size_hint(body),
+            Inner::Buffer(body) => body.size_hint(),
+            Inner::Stream(body) => hyper::body::Body::size_hint(body),
         }
     }
 }
 
-/// Reason why a request body was not read whole.
+/// Reason why a request body was not read to its end.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// Body longer than its limit in bytes.
+    /// The body is longer than the limit.
     #[error("body is longer than {limit_bytes} bytes")]
     TooLarge {
-        /// Limit that was passed, in bytes.
+        /// Limit that was exceeded, in bytes.
         limit_bytes: usize,
     },
-    /// Connection broke before the body's end.
+    /// The connection failed before the end of the body.
     #[error("body broke off: {0}")]
     Interrupted(String),
 }
@@ -93,35 +93,37 @@
 /// Body without content.
 #[must_use]
 pub fn empty() -> Body {
-    Body(Kind::Buffer(BoxBody::new(Empty::new())))
+    Body(Inner::Buffer(BoxBody::new(Empty::new())))
 }
 
 /// Body of one buffer.
 pub fn full(content: impl Into<Bytes>) -> Body {
-    Body(Kind::Buffer(BoxBody::new(Full::new(content.into()))))
+    Body(Inner::Buffer(BoxBody::new(Full::new(content.into()))))
 }
 
-/// Body that yields the chunks of `chunks` as they come.
+/// Streaming body that sends each chunk as `chunks` yields it.
 ///
-/// Dropped when the reader goes away, so a drop guard inside the stream sees
-/// the end of its connection.
+/// The stream is dropped when the client disconnects, so a drop guard inside it
+/// detects the end of the connection.
 pub fn stream(chunks: impl Stream<Item = Bytes> + 'static) -> Body {
     stream_until_abort(chunks.map(Ok))
 }
 
-/// Like [`stream`], for chunks that may end in an abort.
+/// Like [`stream`], for a stream that may end with an abort.
 ///
-/// After an [`Aborted`] the connection is closed without the body's proper end,
-/// so that its reader can tell that the answer is not whole.
+/// After an [`Aborted`] the connection is closed without terminating the body,
+/// so that the client can tell that the response is incomplete.
 pub fn stream_until_abort(chunks: impl Stream<Item = Result<Bytes, Aborted>> + 'static) -> Body {
     let frames = chunks.map(|chunk| chunk.map(Frame::data));
-    Body(Kind::Stream(StreamBody::new(DebugStream(Box::pin(frames)))))
+    Body(Inner::Stream(StreamBody::new(FrameStream(Box::pin(
+        frames,
+    )))))
 }
 
-/// JSON response with `status`.
+/// JSON response of `value` with `status`.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
-    // The types serialised here are this workspace's own: no map with a
-    // non-string key is among them, so writing them can't fail.
+    // Only types of this workspace are serialised here. None of them has a map
+    // with non-string keys, so serialisation can't fail.
     let content = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full(content));
     *response.status_mut() = status;
@@ -132,11 +134,11 @@
     response
 }
 
-/// Reads a request's body whole, up to `limit_bytes`.
+/// Reads a request's body to its end, up to `limit_bytes`.
 ///
 /// # Errors
-/// [`BodyError::TooLarge`] past the limit, [`BodyError::Interrupted`] when the
-/// connection ends early.
+/// [`BodyError::TooLarge`] beyond the limit, [`BodyError::Interrupted`] when the
+/// connection ends before the body.
 pub async fn collect(body: Incoming, limit_bytes: usize) -> Result<Bytes, BodyError> {
     match Limited::new(body, limit_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,19 +1,20 @@
-//! The one way the workspace makes an HTTP client.
+//! Construction of the HTTP client that the workspace uses.
 //!
-//! Redirects and proxies of the environment are off: a request goes to the
-//! address it names or fails.
+//! Redirects and proxies from the environment are disabled: a request is sent
+//! to the address in its URL or fails.
 
 use thiserror::Error;
 
-/// Client that could not be made.
+/// Failure to create an HTTP client.
 #[derive(Debug, Error)]
-#[error("HTTP client could not be made: {0}")]
+#[error("failed to create an HTTP client: {0}")]
 pub struct ClientError(String);
 
-/// Makes a pooled client, bound to the calling thread's runtime.
+/// Creates a client with a connection pool, bound to the calling thread's
+/// runtime.
 ///
 /// # Errors
-/// [`ClientError`] when the library refuses its settings.
+/// [`ClientError`] when the library rejects the client's settings.
 pub fn client() -> Result<cyper::Client, ClientError> {
     cyper::Client::builder()
         .no_proxy()
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,4 +1,4 @@
-//! One served connection, from its accept to its end.
+//! Serving of one accepted connection until it is closed.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -17,77 +17,81 @@
 
 use crate::body::Body;
 use crate::serve::{ServeLimits, StopSignals};
-use crate::stall::WatchedWriter;
+use crate::stall::StallDetectingWriter;
 
-/// Time that a planned stop leaves a new connection for its first request.
+/// Time that a graceful shutdown gives a new connection to send its first
+/// request.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(300);
 
-/// Told by a handler in place of an answer: the connection ends without one.
+/// Returned by a handler instead of a response to close the connection without
+/// one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("handler aborted the connection")]
 pub struct Aborted;
 
-/// Why a connection was dropped before its own end.
+/// Why a connection was dropped before it was closed in the regular way.
 #[derive(Debug, Error)]
-enum Dropped {
+enum DropReason {
     #[error("server aborted")]
     Abort,
-    #[error("peer took no bytes for {0:?}")]
+    #[error("peer accepted no bytes for {0:?}")]
     Stalled(Duration),
     #[error(transparent)]
     Connection(#[from] hyper::Error),
 }
 
-/// Serves `stream` to its end and logs what cut it short.
+/// Serves `stream` until it is closed or dropped, and logs the reason.
 pub(crate) async fn serve_connection<H, A>(
     stream: TcpStream,
     peer: SocketAddr,
     limits: ServeLimits,
     handler: Rc<H>,
-    ends: StopSignals,
+    signals: StopSignals,
 ) where
     H: Fn(Request<Incoming>, SocketAddr) -> A + 'static,
     A: Future<Output = Result<Response<Body>, Aborted>> + 'static,
 {
-    log::debug!("http: connection of {peer} accepted");
-    // Small frames go out at once; without the option they would be delayed,
-    // with an error they still arrive.
+    log::debug!("http: connection from {peer} accepted");
+    // Without this option small writes are delayed. An error is ignored, as
+    // the connection works without it too.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
-    let (writer, stalled) = WatchedWriter::new(writer, limits.write_timeout);
+    let (writer, stalled) = StallDetectingWriter::new(writer, limits.write_timeout);
     let io = HyperStream::new_plain((reader, writer));
-    let exchange = pin!(exchange(io, peer, limits, handler, &ends));
-    // Dropping the exchange closes the socket, whatever is being written.
-    let aborted = pin!(ends.abort.wait());
-    let ended = match select(exchange, select(aborted, stalled)).await {
-        Either::Left((ended, _)) => ended.map_err(Dropped::from),
-        Either::Right((Either::Left(_), _)) => Err(Dropped::Abort),
-        Either::Right((Either::Right(_), _)) => Err(Dropped::Stalled(limits.write_timeout)),
+    let requests = pin!(serve_requests(io, peer, limits, handler, &signals));
+    // Dropping this future closes the socket, even in the middle of a write.
+    let aborted = pin!(signals.abort.wait());
+    let ended = match select(requests, select(aborted, stalled)).await {
+        Either::Left((ended, _)) => ended.map_err(DropReason::from),
+        Either::Right((Either::Left(_), _)) => Err(DropReason::Abort),
+        Either::Right((Either::Right(_), _)) => Err(DropReason::Stalled(limits.write_timeout)),
     };
     match ended {
-        Ok(()) => log::debug!("http: connection of {peer} closed"),
-        Err(error) => log::debug!("http: connection of {peer} ended: {error}"),
+        Ok(()) => log::debug!("http: connection from {peer} closed"),
+        Err(error) => log::debug!("http: connection from {peer} dropped: {error}"),
     }
 }
 
-/// Answers requests until the peer closes or a graceful shutdown.
-async fn exchange<H, A>(
-    io: HyperStream<(TcpStream, WatchedWriter)>,
+/// Answers requests until the peer closes the connection or the server shuts
+/// down gracefully.
+async fn serve_requests<H, A>(
+    io: HyperStream<(TcpStream, StallDetectingWriter)>,
     peer: SocketAddr,
     limits: ServeLimits,
     handler: Rc<H>,
-    ends: &StopSignals,
+    signals: &StopSignals,
 ) -> Result<(), hyper::Error>
 where
     H: Fn(Request<Incoming>, SocketAddr) -> A + 'static,
     A: Future<Output = Result<Response<Body>, Aborted>> + 'static,
 {
-    let began = Rc::new(Cell::new(false));
-    let begins = Rc::clone(&began);
-    // hyper keeps room for one answer's future as long as the connection lives;
-    // boxed, a future of tens of kilobytes is gone once the answer has a head.
+    let has_request = Rc::new(Cell::new(false));
+    let request_received = Rc::clone(&has_request);
+    // hyper reserves space for the handler's future as long as the connection
+    // is open. The future takes tens of kilobytes; boxed, its memory is freed
+    // once the response has a head.
     let service = service_fn(move |request| {
-        begins.set(true);
+        request_received.set(true);
         Box::pin(handler(request, peer))
     });
     let connection = http1::Builder::new()
@@ -96,11 +100,12 @@
         .max_buf_size(limits.header_limit_bytes)
         .serve_connection(io, service);
     let mut connection = pin!(connection);
-    match select(connection.as_mut(), pin!(ends.shutdown.wait())).await {
+    match select(connection.as_mut(), pin!(signals.shutdown.wait())).await {
         Either::Left((ended, _)) => ended,
         Either::Right(_) => {
-            if !began.get() {
-                // A peer that has just connected may have sent its request.
+            if !has_request.get() {
+                // The first request of a new connection may already be on its
+                // way.
                 let first = compio::time::timeout(FIRST_REQUEST_GRACE, connection.as_mut());
                 if let Ok(ended) = first.await {
                     return ended;
--- a/crates/http/src/events.rs
+++ b/crates/http/src/events.rs
@@ -1,4 +1,4 @@
-//! Server-sent events read from a stream of chunks.
+//! Parsing of server-sent events.
 
 use eventsource_stream::Eventsource;
 use futures_util::{Stream, StreamExt};
@@ -7,27 +7,27 @@
 /// One server-sent event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Value of the `id` field, empty when there is none.
+    /// Value of the `id` field, or an empty string.
     pub id: String,
-    /// Value of the `data` fields.
+    /// Value of the `data` fields, joined by line breaks.
     pub data: String,
 }
 
 /// Reason why an event stream ended early.
 #[derive(Debug, Error)]
 pub enum EventsError {
-    /// Connection broke.
+    /// The connection failed.
     #[error("event stream broke: {0}")]
     Interrupted(String),
-    /// Bytes are no event stream.
+    /// The bytes are not an event stream.
     #[error("event stream is malformed: {0}")]
     Malformed(String),
 }
 
-/// Events of a stream of chunks.
+/// Parses a stream of chunks into events.
 ///
 /// # Errors
-/// Each item may be an [`EventsError`]; the stream is of no use after one.
+/// An item may be an [`EventsError`]; the stream yields nothing useful after one.
 pub fn events<B, E>(
     chunks: impl Stream<Item = Result<B, E>>,
 ) -> impl Stream<Item = Result<Event, EventsError>>
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,10 +1,10 @@
-//! Shared HTTP plumbing.
+//! HTTP code shared by the servers and clients of the workspace.
 //!
-//! Owns what every HTTP speaker of the workspace needs and nothing that
-//! decides: the loop that serves hyper on compio, the response body type, the
-//! typed error body with its [`Outcome`], and one client factory. The slices
-//! (`entry`, `upstream`, `platform`, `standin`, `daemon`, `cli`, `load`) build
-//! their own messages on top.
+//! Contains the loop that serves hyper on compio, the response body type, the
+//! error body with its [`Outcome`], the parser of event streams and the
+//! construction of the client, but no policy. The other crates (`entry`,
+//! `upstream`, `platform`, `standin`, `daemon`, `cli`, `load`) define their own
+//! messages on top.
 
 mod body;
 mod client;
@@ -23,29 +23,29 @@
 pub use serve::{ServeLimits, StopSignals, serve, serve_abortable};
 pub use shutdown::{Shutdown, ShutdownTrigger};
 
-/// Names of the headers of the interfaces, see `docs/interfaces.md`.
+/// Names of the headers, described in `docs/interfaces.md`.
 pub mod headers {
-    /// Class of work of a request, set by the caller.
+    /// Class of a request, set by the caller.
     pub const CLASS: &str = "mangofront-class";
     /// Organisation of a request, set by the caller.
     pub const ORGANISATION: &str = "mangofront-organisation";
-    /// Key of an order that may not repeat, set by the caller.
+    /// Idempotency key of an order that must not be repeated, set by the caller.
     pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-    /// Id of a request, set by the daemon and echoed to the caller.
+    /// Id of a request, set by the daemon and returned to the caller.
     pub const REQUEST_ID: &str = "mangofront-request-id";
-    /// Number of the attempt within a request, from 1.
+    /// Number of the attempt within a request, starting at 1.
     pub const ATTEMPT: &str = "mangofront-attempt";
-    /// Priority at the engine, 0 is the most urgent, 255 the least.
+    /// Priority at the engine; 0 is the most urgent, 255 the least.
     pub const PRIORITY: &str = "mangofront-priority";
     /// Time left until the request's deadline, in milliseconds.
     pub const DEADLINE_MS: &str = "mangofront-deadline-ms";
-    /// Index of the first token wanted of a resumed answer.
+    /// Index of the first token that a resumed answer should contain.
     pub const RESUME_OFFSET: &str = "mangofront-resume-offset";
-    /// Memory reservation that a request computes under.
+    /// Id of the memory reservation that a request uses.
     pub const RESERVATION: &str = "mangofront-reservation";
     /// Id of a stream at its engine, set by the engine.
     pub const STREAM_ID: &str = "mangofront-stream-id";
-    /// Incarnation of the process that answered.
+    /// Incarnation of the process that sent the response.
     pub const INCARNATION: &str = "mangofront-incarnation";
     /// Revision of a published value.
     pub const REVISION: &str = "mangofront-revision";
--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -1,9 +1,9 @@
-//! The loop that serves HTTP: one task per connection.
+//! HTTP server loop with one task per connection.
 //!
-//! What ends a connection: its peer; `header_timeout`, while the next head is
-//! awaited; `write_timeout`, while the peer takes no bytes; a graceful
-//! shutdown, after the answer in progress; an abort, at once. A request whose
-//! answer is being computed is bounded by its handler alone.
+//! A connection is closed by its peer; by `header_timeout` while the server
+//! waits for the next request head; by `write_timeout` while the peer accepts no
+//! bytes; by a graceful shutdown after the response in progress; by an abort
+//! immediately. Only the handler limits the time to compute a response.
 
 use std::cell::Cell;
 use std::io;
@@ -23,26 +23,27 @@
 use crate::connection::{Aborted, serve_connection};
 use crate::shutdown::Shutdown;
 
-/// Pause after a failed accept, so that a lack of descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, so that a lack of file descriptors causes no busy
+/// loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Pause between looks at the number of open connections while draining.
-const DRAIN_PAUSE: Duration = Duration::from_millis(5);
+/// Interval at which the number of open connections is checked while draining.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServeLimits {
-    /// Longest time for a request's head to arrive; 10 s by default.
+    /// Maximum time for a request head to arrive; 10 s by default.
     ///
-    /// It runs from the moment the server waits for a head, so it closes a
-    /// connection kept open between requests too: there is no other limit on
-    /// idle connections. A client that reuses connections has to give them up
-    /// sooner than this, or be ready to find one closed.
+    /// It starts when the server begins to wait for a head, so it also closes
+    /// idle keep-alive connections, which have no other limit. A client that
+    /// reuses connections must close them earlier than this or handle a closed
+    /// one.
     pub header_timeout: Duration,
-    /// Largest head of a request, in bytes; at least 8192.
+    /// Maximum size of a request head, in bytes; at least 8192.
     pub header_limit_bytes: usize,
-    /// Longest time for which a peer may take no byte of an answer; 30 s by
-    /// default. Then its connection is dropped with all that waits for it.
+    /// Maximum time for which a peer may accept no byte of a response; 30 s by
+    /// default. After it the connection is dropped with all unsent data.
     pub write_timeout: Duration,
 }
 
@@ -56,103 +57,108 @@
     }
 }
 
-/// Two ways in which a server ends.
+/// Signals that stop a server.
 #[derive(Debug, Clone)]
 pub struct StopSignals {
-    /// Graceful shutdown: answers in progress are ended whole.
+    /// Graceful shutdown: responses in progress are completed.
     pub shutdown: Shutdown,
-    /// Abort: connections are dropped at once, in the middle of an answer.
+    /// Abort: connections are dropped immediately, even in the middle of a
+    /// response.
     pub abort: Shutdown,
 }
 
-/// Serves `listener` until `shutdown`, then until its connections are done.
+/// Serves `listener` until `shutdown`, then until all connections are closed.
 ///
-/// `handler` answers one request of the peer whose address it gets; its
-/// future is dropped when the caller's connection ends. A connection gets its
-/// own task. On shutdown idle connections close, and a
-/// request in progress is answered whole before its connection closes.
+/// `handler` answers one request of the peer whose address it gets; its future is
+/// dropped when the client's connection is closed. Each connection has its own
+/// task. On shutdown idle connections are closed, and a request in progress is
+/// answered completely before its connection is closed.
 pub async fn serve<H, A>(listener: TcpListener, limits: ServeLimits, handler: H, shutdown: Shutdown)
 where
     H: Fn(Request<Incoming>, SocketAddr) -> A + 'static,
     A: Future<Output = Response<Body>> + 'static,
 {
     let handler = move |request, peer| {
-        let answer = handler(request, peer);
-        async move { Ok(answer.await) }
+        let response = handler(request, peer);
+        async move { Ok(response.await) }
     };
-    // Held to the end: a dropped trigger would be an abort.
-    let (never, abort) = Shutdown::new();
+    // Kept alive until the server has ended, as dropping the trigger is an abort.
+    let (abort_trigger, abort) = Shutdown::new();
     serve_abortable(listener, limits, handler, StopSignals { shutdown, abort }).await;
-    drop(never);
+    drop(abort_trigger);
 }
 
-/// Like [`serve`], for emulators of processes that die: the server can be
-/// aborted as a whole, and its handler can end a connection unanswered.
+/// Like [`serve`], for emulators of crashing processes: the whole server can be
+/// aborted, and the handler can close a connection without a response.
 pub async fn serve_abortable<H, A>(
     listener: TcpListener,
     limits: ServeLimits,
     handler: H,
-    ends: StopSignals,
+    signals: StopSignals,
 ) where
     H: Fn(Request<Incoming>, SocketAddr) -> A + 'static,
     A: Future<Output = Result<Response<Body>, Aborted>> + 'static,
 {
     let handler = Rc::new(handler);
-    let open = Rc::new(Cell::new(0_usize));
-    let start = |(stream, peer)| {
-        let guard = OpenConnection::new(&open);
+    let open_connections = Rc::new(Cell::new(0_usize));
+    let spawn_connection = |(stream, peer)| {
+        let guard = OpenConnectionGuard::new(&open_connections);
         let handler = Rc::clone(&handler);
-        let ends = ends.clone();
+        let signals = signals.clone();
         compio::runtime::spawn(async move {
-            serve_connection(stream, peer, limits, handler, ends).await;
+            serve_connection(stream, peer, limits, handler, signals).await;
             drop(guard);
         })
         .detach();
     };
     let mut is_failing = false;
-    while let Some(accepted) = accept(&listener, &ends).await {
+    while let Some(accepted) = accept(&listener, &signals).await {
         match accepted {
             Ok(accepted) => {
                 is_failing = false;
-                start(accepted);
+                spawn_connection(accepted);
             }
             Err(error) => {
-                // One line for a fault that lasts.
+                // Log a persistent fault only once.
                 if !std::mem::replace(&mut is_failing, true) {
-                    log::warn!("http: connections can't be accepted: {error}");
+                    log::warn!("http: can't accept connections: {error}");
                 }
-                compio::time::sleep(ACCEPT_PAUSE).await;
+                compio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    if !ends.abort.is_triggered() {
-        last_accepts(&listener).into_iter().for_each(start);
+    if !signals.abort.is_triggered() {
+        accept_backlog(&listener)
+            .into_iter()
+            .for_each(spawn_connection);
     }
     drop(listener);
-    while open.get() > 0 {
-        compio::time::sleep(DRAIN_PAUSE).await;
+    while open_connections.get() > 0 {
+        compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
-/// The next connection; none once the server has to end.
+/// Accepts the next connection; `None` once the server has to stop.
 async fn accept(
     listener: &TcpListener,
-    ends: &StopSignals,
+    signals: &StopSignals,
 ) -> Option<io::Result<(TcpStream, SocketAddr)>> {
-    let stopped = pin!(ends.shutdown.wait());
-    let aborted = pin!(ends.abort.wait());
+    let stopped = pin!(signals.shutdown.wait());
+    let aborted = pin!(signals.abort.wait());
     match select(pin!(listener.accept()), select(stopped, aborted)).await {
         Either::Left((accepted, _)) => Some(accepted),
         Either::Right(_) => None,
     }
 }
 
-/// The connections that the kernel has accepted already; it accepts no more.
+/// Accepts all connections that are in the listener's backlog, and shuts the
+/// listener down.
 ///
-/// A listener that is just closed resets those that nobody has taken up. So
-/// they are all taken, and the listener is shut down right behind the last,
-/// with no wait in between: compio closes it only once its driver lets go.
-fn last_accepts(listener: &TcpListener) -> Vec<(TcpStream, SocketAddr)> {
+/// Closing a listener resets the connections in its backlog, so all of them are
+/// accepted first. The listener is then shut down without an await in between:
+/// dropping it is not enough, as compio closes the socket only once its driver
+/// has released it.
+fn accept_backlog(listener: &TcpListener) -> Vec<(TcpStream, SocketAddr)> {
     let mut accepted = Vec::new();
     let Ok(descriptor) = listener.as_fd().try_clone_to_owned() else {
         return accepted;
@@ -165,22 +171,22 @@
             }
         }
     }
-    // An error means that it was shut down already.
+    // An error means that it has already been shut down.
     let _ = SockRef::from(&listener).shutdown(std::net::Shutdown::Both);
     accepted
 }
 
-/// Counts one open connection while it lives.
-struct OpenConnection(Rc<Cell<usize>>);
+/// Counts an open connection until it is dropped.
+struct OpenConnectionGuard(Rc<Cell<usize>>);
 
-impl OpenConnection {
-    fn new(open: &Rc<Cell<usize>>) -> Self {
-        open.set(open.get() + 1);
-        Self(Rc::clone(open))
+impl OpenConnectionGuard {
+    fn new(open_connections: &Rc<Cell<usize>>) -> Self {
+        open_connections.set(open_connections.get() + 1);
+        Self(Rc::clone(open_connections))
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/http/src/shutdown.rs
+++ b/crates/http/src/shutdown.rs
@@ -1,18 +1,18 @@
-//! Signal by which a server is told to stop.
+//! Signal that tells a server to stop.
 
 use futures_util::FutureExt;
 use futures_util::future::Shared;
 
-/// Signal that a server should stop.
+/// Receiver of a stop signal. Clones receive the same signal.
 #[derive(Debug, Clone)]
 pub struct Shutdown(Shared<futures_channel::oneshot::Receiver<()>>);
 
-/// The other end of a [`Shutdown`]: fires when used or dropped.
+/// Sender of the signal of a [`Shutdown`]: sends it when used or dropped.
 #[derive(Debug)]
 pub struct ShutdownTrigger(futures_channel::oneshot::Sender<()>);
 
 impl Shutdown {
-    /// A signal and its trigger.
+    /// Creates a signal and its trigger.
     #[must_use]
     pub fn new() -> (ShutdownTrigger, Self) {
         let (sender, receiver) = futures_channel::oneshot::channel();
@@ -21,11 +21,11 @@
 
     /// Waits for the signal.
     pub async fn wait(&self) {
-        // Both a sent signal and a dropped trigger mean the same.
+        // A dropped trigger has the same meaning as a sent signal.
         let _ = self.0.clone().await;
     }
 
-    /// Whether the signal was given.
+    /// Whether the signal was sent.
     #[must_use]
     pub fn is_triggered(&self) -> bool {
         self.0.peek().is_some() || self.0.clone().now_or_never().is_some()
@@ -33,9 +33,9 @@
 }
 
 impl ShutdownTrigger {
-    /// Gives the signal.
+    /// Sends the signal.
     pub fn trigger(self) {
-        // A server that is gone already needs no signal.
+        // Sending fails only if the server has already ended.
         let _ = self.0.send(());
     }
 }
--- a/crates/http/src/stall.rs
+++ b/crates/http/src/stall.rs
@@ -1,4 +1,4 @@
-//! Bound on the time for which a peer takes no bytes.
+//! Detection of peers that accept no bytes.
 
 use std::io;
 use std::pin::pin;
@@ -10,42 +10,47 @@
 use futures_channel::oneshot;
 use futures_util::future::{Either, select};
 
-/// Told once, when a write made no progress for its timeout.
-pub(crate) type Stalled = oneshot::Receiver<()>;
+/// Resolves when a write has made no progress for the timeout.
+pub(crate) type StallSignal = oneshot::Receiver<()>;
 
-/// Write half of a connection that tells of a write without progress.
+/// Write half of a connection that signals a write without progress.
 ///
-/// A write ends as soon as the socket takes some of its bytes, so a slow
-/// reader is never told of, only one that takes none. The write itself goes
-/// on: its buffer belongs to the driver until it ends, so only dropping the
+/// A write completes as soon as the socket accepts some of its bytes, so only a
+/// peer that accepts none is reported, never a slow one. The write itself is not
+/// cancelled: the driver owns its buffer until it completes, so only dropping the
 /// whole connection ends it early.
 #[derive(Debug)]
-pub(crate) struct WatchedWriter {
+pub(crate) struct StallDetectingWriter {
     stream: TcpStream,
     timeout: Duration,
-    stalled: Option<oneshot::Sender<()>>,
+    stall_sender: Option<oneshot::Sender<()>>,
 }
 
-impl WatchedWriter {
-    pub(crate) fn new(stream: TcpStream, timeout: Duration) -> (Self, Stalled) {
+impl StallDetectingWriter {
+    pub(crate) fn new(stream: TcpStream, timeout: Duration) -> (Self, StallSignal) {
         let (sender, receiver) = oneshot::channel();
         let writer = Self {
             stream,
             timeout,
-            stalled: Some(sender),
+            stall_sender: Some(sender),
         };
         (writer, receiver)
     }
 }
 
-impl AsyncWrite for WatchedWriter {
+impl AsyncWrite for StallDetectingWriter {
     async fn write<T: IoBuf>(&mut self, buffer: T) -> BufResult<usize, T> {
-        watch(self.stream.write(buffer), self.timeout, &mut self.stalled).await
+        signal_stall(
+            self.stream.write(buffer),
+            self.timeout,
+            &mut self.stall_sender,
+        )
+        .await
     }
 
     async fn write_vectored<T: IoVectoredBuf>(&mut self, buffer: T) -> BufResult<usize, T> {
-        let writing = self.stream.write_vectored(buffer);
-        watch(writing, self.timeout, &mut self.stalled).await
+        let write = self.stream.write_vectored(buffer);
+        signal_stall(write, self.timeout, &mut self.stall_sender).await
     }
 
     async fn flush(&mut self) -> io::Result<()> {
@@ -57,19 +62,19 @@
     }
 }
 
-async fn watch<T>(
-    writing: impl Future<Output = T>,
+async fn signal_stall<T>(
+    write: impl Future<Output = T>,
     timeout: Duration,
-    stalled: &mut Option<oneshot::Sender<()>>,
+    stall_sender: &mut Option<oneshot::Sender<()>>,
 ) -> T {
-    match select(pin!(writing), pin!(compio::time::sleep(timeout))).await {
+    match select(pin!(write), pin!(compio::time::sleep(timeout))).await {
         Either::Left((written, _)) => written,
-        Either::Right(((), writing)) => {
-            if let Some(stalled) = stalled.take() {
-                // A connection that is ending already needs no signal.
-                let _ = stalled.send(());
+        Either::Right(((), write)) => {
+            if let Some(stall_sender) = stall_sender.take() {
+                // Sending fails only if the connection is already being closed.
+                let _ = stall_sender.send(());
             }
-            writing.await
+            write.await
         }
     }
 }
