--- a/crates/entry/src/completion/attempts.rs
+++ b/crates/entry/src/completion/attempts.rs
@@ -10,7 +10,7 @@
 
 use mangofront_admission::Permit;
 use mangofront_placement::{EngineOutcome, PlacedRequest};
-use mangofront_upstream::engine::{self, EngineStream, Frame, Generate};
+use mangofront_upstream::engine::{self, EngineStream, Frame, GenerateCall};
 use mangofront_upstream::reservation::GroupReservation;
 use mangofront_upstream::{SendError, Target};
 
@@ -57,7 +57,7 @@
     /// Held until the attempt is over.
     _reservation: Option<GroupReservation>,
     stream: EngineStream,
-    call: Generate,
+    call: GenerateCall,
     target: Target,
     first_token_seen: bool,
     /// Tokens of this attempt seen so far.
@@ -191,8 +191,8 @@
         Ok(Some(reservation))
     }
 
-    fn call(&self, placed: &PlacedRequest, reservation: Option<&GroupReservation>) -> Generate {
-        Generate {
+    fn call(&self, placed: &PlacedRequest, reservation: Option<&GroupReservation>) -> GenerateCall {
+        GenerateCall {
             endpoint: self.request.endpoint,
             body: self.request.body.content.clone(),
             request: self.request.id.clone(),
@@ -257,7 +257,7 @@
         let call = running.call.clone();
         match engine::resume(connections, &running.target, &stream_id, call, until).await {
             Ok(stream) => {
-                std::mem::replace(&mut running.stream, stream).keep();
+                std::mem::replace(&mut running.stream, stream).detach();
                 self.running = Some(running);
                 Ok(())
             }
--- a/crates/entry/src/completion/group.rs
+++ b/crates/entry/src/completion/group.rs
@@ -75,7 +75,7 @@
             offset_tokens += segment.tokens;
             async move { compute_segment(connections, &target(member), &segment, deadline).await }
         });
-        match select(try_join_all(segments), pin!(reservation.lost())).await {
+        match select(try_join_all(segments), pin!(reservation.lease_lost())).await {
             Either::Left((computed, _)) => computed.map(drop),
             Either::Right((error, _)) => Err(error),
         }
--- a/crates/entry/src/service/mod.rs
+++ b/crates/entry/src/service/mod.rs
@@ -16,7 +16,7 @@
 use mangofront_http::{Body, Outcome, full, headers};
 use mangofront_settings::ids::ServiceName;
 use mangofront_settings::published::{CallPattern, Configuration, Service};
-use mangofront_upstream::service::{Call, ServiceAnswer, call};
+use mangofront_upstream::service::{Call, ServiceResponse, call};
 use percent_encoding::percent_decode_str;
 
 use crate::bodies::{self, HeldBody};
@@ -195,7 +195,7 @@
 }
 
 /// Sends a call that may be repeated.
-async fn send(entry: &Entry, service_call: &ServiceCall) -> Result<ServiceAnswer, EntryError> {
+async fn send(entry: &Entry, service_call: &ServiceCall) -> Result<ServiceResponse, EntryError> {
     let parts = entry.parts();
     let limit_bytes = parts.limits.service_answer_limit_bytes;
     let safe = service_call.call.method.is_safe();
@@ -249,7 +249,7 @@
     }
 }
 
-fn respond(answer: ServiceAnswer) -> Response<Body> {
+fn respond(answer: ServiceResponse) -> Response<Body> {
     let mut response = Response::new(full(answer.body));
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer.headers;
--- a/crates/entry/src/service/order.rs
+++ b/crates/entry/src/service/order.rs
@@ -17,7 +17,7 @@
 };
 use mangofront_telemetry::invariants::{Invariant, check};
 use mangofront_upstream::FreshConnection;
-use mangofront_upstream::service::{ServiceAnswer, call_once};
+use mangofront_upstream::service::{ServiceResponse, call_once};
 
 use super::{ServiceCall, targets};
 use crate::context::{Active, Entry};
@@ -35,7 +35,7 @@
     active: &Rc<Active>,
     service_call: ServiceCall,
     key: String,
-) -> Result<ServiceAnswer, EntryError> {
+) -> Result<ServiceResponse, EntryError> {
     let (sender, receiver) = oneshot::channel();
     let entry = entry.clone();
     let active = Rc::clone(active);
@@ -132,7 +132,7 @@
     Err(reason)
 }
 
-fn stored(answer: ServiceAnswer) -> Answer {
+fn stored(answer: ServiceResponse) -> Answer {
     let headers = answer
         .headers
         .iter()
@@ -148,7 +148,7 @@
     }
 }
 
-fn answer(decision: Decision) -> Result<ServiceAnswer, EntryError> {
+fn answer(decision: Decision) -> Result<ServiceResponse, EntryError> {
     match decision {
         Decision::Answer(answer) => {
             let Answer {
@@ -156,7 +156,7 @@
                 headers,
                 body,
             } = answer;
-            Ok(ServiceAnswer {
+            Ok(ServiceResponse {
                 status: status_code(status),
                 headers: header_map(headers),
                 body,
@@ -169,7 +169,7 @@
         } => {
             let mut headers = header_map(headers);
             headers.insert(REPLAYED, HeaderValue::from_static("true"));
-            Ok(ServiceAnswer {
+            Ok(ServiceResponse {
                 status: status_code(status),
                 headers,
                 body: body.into(),
--- a/crates/upstream/src/engine/attempt.rs
+++ b/crates/upstream/src/engine/attempt.rs
@@ -19,11 +19,11 @@
 pub type RequestId = String;
 
 /// Number of an attempt within its request, from 1.
-pub type Attempt = u32;
+pub type AttemptNumber = u32;
 
 /// One attempt at a request, as an engine takes it.
 #[derive(Debug, Clone)]
-pub struct Generate {
+pub struct GenerateCall {
     /// Endpoint the body was sent to.
     pub endpoint: Endpoint,
     /// Caller's body, unchanged.
@@ -31,7 +31,7 @@
     /// Request it belongs to.
     pub request: RequestId,
     /// Number of this attempt.
-    pub attempt: Attempt,
+    pub attempt: AttemptNumber,
     /// 0 is the most urgent.
     pub priority: u8,
     /// First token wanted.
@@ -52,7 +52,7 @@
 pub async fn generate(
     connections: &Connections,
     target: &Target,
-    call: Generate,
+    call: GenerateCall,
     queued_by: Instant,
 ) -> Result<EngineStream, SendError> {
     let guard = CancelGuard::new(connections, target, &call);
@@ -81,7 +81,7 @@
     connections: &Connections,
     target: &Target,
     stream: &str,
-    call: Generate,
+    call: GenerateCall,
     until: Instant,
 ) -> Result<EngineStream, SendError> {
     let guard = CancelGuard::new(connections, target, &call);
@@ -94,7 +94,10 @@
     Ok(EngineStream::new(target, call, answer, guard))
 }
 
-fn generate_request(target: &Target, call: &Generate) -> Result<Request<Full<Bytes>>, SendError> {
+fn generate_request(
+    target: &Target,
+    call: &GenerateCall,
+) -> Result<Request<Full<Bytes>>, SendError> {
     let path = match call.endpoint {
         Endpoint::Completions => "/v1/completions",
         Endpoint::ChatCompletions => "/v1/chat/completions",
--- a/crates/upstream/src/engine/cancel.rs
+++ b/crates/upstream/src/engine/cancel.rs
@@ -6,7 +6,7 @@
 use mangofront_http::Outcome;
 use mangofront_settings::ids::InstanceId;
 
-use super::attempt::{Attempt, Generate, RequestId};
+use super::attempt::{AttemptNumber, GenerateCall, RequestId};
 use super::json::call_json;
 use crate::Target;
 use crate::connection::Connections;
@@ -26,7 +26,7 @@
     connections: &Connections,
     target: &Target,
     request: &str,
-    attempt: Attempt,
+    attempt: AttemptNumber,
 ) -> Result<(), SendError> {
     let path = format!("/v1/requests/{request}/attempts/{attempt}");
     let deadline = Instant::now() + CANCEL_TIMEOUT;
@@ -40,12 +40,12 @@
     connections: Connections,
     target: Target,
     request: RequestId,
-    attempt: Attempt,
+    attempt: AttemptNumber,
     armed: bool,
 }
 
 impl CancelGuard {
-    pub(super) fn new(connections: &Connections, target: &Target, call: &Generate) -> Self {
+    pub(super) fn new(connections: &Connections, target: &Target, call: &GenerateCall) -> Self {
         Self {
             connections: connections.clone(),
             target: target.clone(),
@@ -87,7 +87,7 @@
     connections: &Connections,
     target: &Target,
     request: &str,
-    attempt: Attempt,
+    attempt: AttemptNumber,
 ) {
     for _ in 0..CANCEL_TRIES {
         match cancel(connections, target, request, attempt).await {
--- a/crates/upstream/src/engine/mod.rs
+++ b/crates/upstream/src/engine/mod.rs
@@ -10,7 +10,7 @@
 mod json;
 mod stream;
 
-pub use attempt::{Attempt, Generate, RequestId, generate, resume};
+pub use attempt::{AttemptNumber, GenerateCall, RequestId, generate, resume};
 pub use cancel::cancel;
 pub use json::{call_json, report};
 pub use stream::{EngineStream, FinishReason, Frame, Usage};
--- a/crates/upstream/src/engine/stream.rs
+++ b/crates/upstream/src/engine/stream.rs
@@ -12,7 +12,7 @@
 use mangofront_http::{ErrorBody, Event, events, headers};
 use serde::{Deserialize, Serialize};
 
-use super::attempt::{Attempt, Generate, RequestId};
+use super::attempt::{AttemptNumber, GenerateCall, RequestId};
 use super::cancel::CancelGuard;
 use crate::Target;
 use crate::connection::{UpstreamResponse, within};
@@ -27,7 +27,7 @@
     /// Request it belongs to.
     pub request: RequestId,
     /// Attempt it belongs to.
-    pub attempt: Attempt,
+    pub attempt: AttemptNumber,
     /// Index of the token.
     pub offset: u32,
     /// Text of the token.
@@ -67,7 +67,7 @@
 /// Invariant: `next_offset` is the only offset that is passed on.
 pub struct EngineStream {
     target: Target,
-    call: Generate,
+    call: GenerateCall,
     stream: Option<String>,
     next_offset: u32,
     events: Pin<Box<dyn Stream<Item = Result<Event, mangofront_http::EventsError>>>>,
@@ -87,7 +87,7 @@
 impl EngineStream {
     pub(super) fn new(
         target: &Target,
-        call: Generate,
+        call: GenerateCall,
         answer: UpstreamResponse,
         guard: CancelGuard,
     ) -> Self {
@@ -143,7 +143,7 @@
     }
 
     /// Leaves the attempt running at the engine, to be resumed.
-    pub fn keep(mut self) {
+    pub fn detach(mut self) {
         self.guard.finished();
     }
 
--- a/crates/upstream/src/reservation.rs
+++ b/crates/upstream/src/reservation.rs
@@ -17,7 +17,7 @@
 
 use crate::Target;
 use crate::connection::Connections;
-use crate::engine::{Attempt, RequestId, call_json};
+use crate::engine::{AttemptNumber, RequestId, call_json};
 use crate::error::SendError;
 
 /// Time for an engine to answer a call about a reservation.
@@ -46,7 +46,7 @@
     /// Request it belongs to.
     pub request: RequestId,
     /// Attempt it belongs to.
-    pub attempt: Attempt,
+    pub attempt: AttemptNumber,
     /// Length of the share, in tokens.
     pub tokens: u64,
     /// Prompt before the share, which it attends to, in tokens.
@@ -144,7 +144,7 @@
     }
 
     /// Resolves once a member's lease is lost, by the failure of its renewal.
-    pub async fn lost(&mut self) -> SendError {
+    pub async fn lease_lost(&mut self) -> SendError {
         if let Some(renewal) = &mut self.renewal {
             let ended = renewal.await;
             self.renewal = None;
--- a/crates/upstream/src/service.rs
+++ b/crates/upstream/src/service.rs
@@ -36,7 +36,7 @@
 
 /// A service's whole answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServiceAnswer {
+pub struct ServiceResponse {
     /// Status of the answer.
     pub status: StatusCode,
     /// Headers of the answer, without those of the connection.
@@ -55,7 +55,7 @@
     call: Call,
     limit_bytes: usize,
     deadline: Instant,
-) -> Result<ServiceAnswer, SendError> {
+) -> Result<ServiceResponse, SendError> {
     let request = request(target, call)?;
     let answer = connections.send(target, request, deadline).await?;
     read(answer, limit_bytes, deadline).await
@@ -73,7 +73,7 @@
     call: Call,
     limit_bytes: usize,
     deadline: Instant,
-) -> Result<ServiceAnswer, SendError> {
+) -> Result<ServiceResponse, SendError> {
     let request = request(opened.target(), call)?;
     let answer = opened.send(request, deadline).await?;
     read(answer, limit_bytes, deadline).await
@@ -83,11 +83,11 @@
     answer: UpstreamResponse,
     limit_bytes: usize,
     deadline: Instant,
-) -> Result<ServiceAnswer, SendError> {
+) -> Result<ServiceResponse, SendError> {
     let status = answer.status;
     let headers = without_hop_headers(&answer.headers);
     let body = answer.bytes(limit_bytes, deadline).await?;
-    Ok(ServiceAnswer {
+    Ok(ServiceResponse {
         status,
         headers,
         body,
--- a/crates/upstream/tests/engine.rs
+++ b/crates/upstream/tests/engine.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use mangofront_http::{ErrorBody, Outcome};
 use mangofront_prompt::Endpoint;
-use mangofront_upstream::engine::{EngineStream, FinishReason, Generate, generate, resume};
+use mangofront_upstream::engine::{EngineStream, FinishReason, GenerateCall, generate, resume};
 use mangofront_upstream::{Connections, SendError};
 
 use support::{Reply, Server, connections, deadline, get};
@@ -18,8 +18,8 @@
 
 const CALLS_AFTER: usize = 20;
 
-fn attempt(resume_offset: u32) -> Generate {
-    Generate {
+fn attempt(resume_offset: u32) -> GenerateCall {
+    GenerateCall {
         endpoint: Endpoint::Completions,
         body: Bytes::from_static(b"{}"),
         request: "request-1".to_owned(),
