--- a/crates/upstream/src/connection/idle.rs
+++ b/crates/upstream/src/connection/idle.rs
@@ -1,4 +1,4 @@
-//! Connections that wait for their next call.
+//! Pool of idle connections.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -7,28 +7,28 @@
 
 use super::Sender;
 
-/// Time before the announced end of an unused connection at which it is given up:
-/// a call sent later could meet the end on its way.
-const CLOSING_MARGIN: Duration = Duration::from_millis(500);
+/// Time before the server's announced timeout at which an idle connection is no
+/// longer used: the server could close it while a later call is on its way.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Unused connections by address.
+/// Idle connections by address.
 ///
-/// Invariant: on each of them every answer was read to its end.
+/// Invariant: every response on a pooled connection was read to its end.
 #[derive(Debug)]
 pub(super) struct IdleConnections {
     timeout: Duration,
     limit: usize,
-    by_address: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    by_address: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     sender: Sender,
-    until: Instant,
+    reusable_until: Instant,
 }
 
 impl IdleConnections {
-    /// None yet; at most `limit` are kept for each address.
+    /// Empty pool that keeps at most `limit` connections per address.
     pub(super) fn new(timeout: Duration, limit: usize) -> Self {
         Self {
             timeout,
@@ -37,50 +37,57 @@
         }
     }
 
-    /// The connection used last, if it is still open.
+    /// Takes the most recently used connection that is still open.
     pub(super) fn take(&self, address: SocketAddr) -> Option<Sender> {
         let mut by_address = self.by_address.borrow_mut();
-        let kept = by_address.get_mut(&address)?;
-        while let Some(entry) = kept.pop() {
-            if Instant::now() < entry.until && entry.sender.is_ready() {
+        let idle = by_address.get_mut(&address)?;
+        while let Some(entry) = idle.pop() {
+            if Instant::now() < entry.reusable_until && entry.sender.is_ready() {
                 return Some(entry.sender);
             }
         }
         None
     }
 
-    /// Keeps a connection whose other end closes it after `announced`.
-    pub(super) fn put(&self, address: SocketAddr, sender: Sender, announced: Option<Duration>) {
+    /// Adds a connection, which the server closes after `keep_alive_timeout` if it
+    /// announced one.
+    pub(super) fn put(
+        &self,
+        address: SocketAddr,
+        sender: Sender,
+        keep_alive_timeout: Option<Duration>,
+    ) {
         if sender.is_closed() {
             return;
         }
         let mut by_address = self.by_address.borrow_mut();
-        let kept = by_address.entry(address).or_default();
+        let idle = by_address.entry(address).or_default();
         let now = Instant::now();
-        kept.retain(|entry| now < entry.until && !entry.sender.is_closed());
-        let usable = announced.map_or(self.timeout, |announced| {
-            self.timeout.min(announced.saturating_sub(CLOSING_MARGIN))
+        idle.retain(|entry| now < entry.reusable_until && !entry.sender.is_closed());
+        let reuse_for = keep_alive_timeout.map_or(self.timeout, |keep_alive_timeout| {
+            self.timeout
+                .min(keep_alive_timeout.saturating_sub(KEEP_ALIVE_MARGIN))
         });
-        if kept.len() < self.limit && !usable.is_zero() {
-            kept.push(Idle {
+        if idle.len() < self.limit && !reuse_for.is_zero() {
+            idle.push(IdleConnection {
                 sender,
-                until: now + usable,
+                reusable_until: now + reuse_for,
             });
         }
     }
 
-    /// Addresses to which one is kept that is still open.
+    /// Addresses to which there is an idle connection that is still open.
     pub(super) fn addresses(&self) -> HashSet<SocketAddr> {
         let now = Instant::now();
         let by_address = self.by_address.borrow();
-        let open = by_address.iter().filter(|(_, kept)| {
-            let mut kept = kept.iter();
-            kept.any(|entry| now < entry.until && entry.sender.is_ready())
+        let open = by_address.iter().filter(|(_, idle)| {
+            let mut idle = idle.iter();
+            idle.any(|entry| now < entry.reusable_until && entry.sender.is_ready())
         });
         open.map(|(address, _)| *address).collect()
     }
 
-    /// Closes the connections to addresses that `keep` does not name.
+    /// Closes the connections to all addresses for which `keep` returns false.
     pub(super) fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.by_address
             .borrow_mut()
--- a/crates/upstream/src/connection/mod.rs
+++ b/crates/upstream/src/connection/mod.rs
@@ -1,13 +1,13 @@
-//! Connections to upstreams: opening, reuse, and what was written on them.
+//! Connections to upstreams: opening, reuse, and whether a call was written.
 //!
-//! A connection serves one call at a time. It is reused only after an answer
-//! was read to its end, so a late byte of an abandoned answer can never reach
-//! another call: an [`UpstreamResponse`] dropped early closes its connection. Calls that
-//! may not repeat never take a used connection, because a connection closed by
-//! its other end in the same moment would leave it open whether they ran.
+//! A connection serves one call at a time. It is reused only after the response
+//! was read to its end, so that no late byte of an abandoned response can reach
+//! another call: dropping an [`UpstreamResponse`] early closes its connection.
+//! Calls that must not be repeated never use an idle connection: if the upstream
+//! closed it at the same moment, it would be unknown whether the call ran.
 
-mod answer;
 mod idle;
+mod response;
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -27,26 +27,27 @@
 use crate::error::{SendError, Step};
 use crate::traffic::ControlTraffic;
 
-pub use answer::UpstreamResponse;
+pub use response::UpstreamResponse;
 
 use idle::IdleConnections;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Silence after which a connection is probed; the least that the kernel takes.
-const PROBE_PERIOD: Duration = Duration::from_secs(1);
+/// Time without data after which the kernel sends keepalive probes, and the
+/// interval between them; 1 s is the kernel's minimum.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which a connection is given up.
-const PROBES: u32 = 2;
+/// Unanswered probes after which a connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// Settings of [`Connections`].
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionsOptions {
-    /// Longest time to open a connection; 1 s by default.
+    /// Maximum time to open a connection; 1 s by default.
     pub connect_timeout: Duration,
-    /// Time after which an unused connection is closed; 5 s by default.
+    /// Time after which an idle connection is no longer reused; 5 s by default.
     pub idle_timeout: Duration,
-    /// Unused connections kept for each address; 64 by default.
+    /// Maximum number of idle connections per address; 64 by default.
     pub idle_limit: usize,
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-/// Connections to all upstreams of a process. Clones share them.
+/// Connections of a process to all its upstreams. Clones share them.
 #[derive(Debug, Clone)]
 pub struct Connections(Rc<Shared>);
 
@@ -72,7 +73,7 @@
 }
 
 impl Connections {
-    /// No connection yet.
+    /// Creates an empty pool of connections.
     #[must_use]
     pub fn new(options: ConnectionsOptions) -> Self {
         let idle = IdleConnections::new(options.idle_timeout, options.idle_limit);
@@ -83,10 +84,10 @@
         }))
     }
 
-    /// Sends a call that may be repeated, on a used connection if there is one.
+    /// Sends a call that may be repeated, on an idle connection if there is one.
     ///
     /// # Errors
-    /// [`SendError`] when no head arrived by `deadline`.
+    /// [`SendError`] when no response head arrived by `deadline`.
     pub async fn send(
         &self,
         target: &Target,
@@ -96,12 +97,13 @@
         self.send_if(target, request, deadline, || true).await
     }
 
-    /// Sends a call that may be repeated, unless it is not wanted any more by the time
-    /// that a connection is there for it.
+    /// Sends a call that may be repeated, unless it is no longer wanted once a
+    /// connection is available.
     ///
     /// # Errors
-    /// [`SendError::Withdrawn`] if `is_wanted` said no right before the writing, any other
-    /// when no head arrived by `deadline`.
+    /// [`SendError::Withdrawn`] if `is_wanted` returned false right before the call
+    /// would have been written, any other when no response head arrived by
+    /// `deadline`.
     pub async fn send_if(
         &self,
         target: &Target,
@@ -113,7 +115,7 @@
             if !is_wanted() {
                 return Err(withdrawn(target));
             }
-            let sent = within(
+            let sent = with_deadline(
                 deadline,
                 target,
                 Step::Head,
@@ -122,9 +124,9 @@
             match sent.await? {
                 Ok(response) => return Ok(UpstreamResponse::new(self, target, sender, response)),
                 Err(mut error) => match error.take_message() {
-                    // Unwritten: the connection was closed while unused.
-                    Some(unwritten) => request = unwritten,
-                    None => return Err(broken(target, Step::Head, error.error())),
+                    // Not written: the connection was closed while it was idle.
+                    Some(unsent) => request = unsent,
+                    None => return Err(connection_failed(target, Step::Head, error.error())),
                 },
             }
         }
@@ -132,10 +134,11 @@
         opened.send_if(request, deadline, is_wanted).await
     }
 
-    /// Opens a connection for one call of its own.
+    /// Opens a new connection for one call.
     ///
     /// # Errors
-    /// [`SendError`] when it is not open by `deadline`; no call was written.
+    /// [`SendError`] when the connection is not open by `deadline`; no call was
+    /// written.
     pub async fn open(
         &self,
         target: &Target,
@@ -151,22 +154,22 @@
 
     async fn connect(&self, target: &Target, deadline: Instant) -> Result<Sender, SendError> {
         let limit = deadline.min(Instant::now() + self.0.connect_timeout);
-        let stream = within(
+        let stream = with_deadline(
             limit,
             target,
             Step::Connect,
             TcpStream::connect(target.address),
         )
         .await?
-        .map_err(|error| broken(target, Step::Connect, &error))?;
-        // Without it a call of two writes waits for an acknowledgement; with
-        // an error it still goes out.
+        .map_err(|error| connection_failed(target, Step::Connect, &error))?;
+        // Without this option a call of two writes waits for an acknowledgement.
+        // An error is ignored, as the call can be sent all the same.
         let _ = stream.set_nodelay(true);
-        watch_for_silence(&stream);
+        enable_keepalive(&stream);
         let handshake = http1::handshake(HyperStream::new_plain(stream));
-        let (sender, connection) = within(limit, target, Step::Connect, handshake)
+        let (sender, connection) = with_deadline(limit, target, Step::Connect, handshake)
             .await?
-            .map_err(|error| broken(target, Step::Connect, &error))?;
+            .map_err(|error| connection_failed(target, Step::Connect, &error))?;
         let address = target.address;
         compio::runtime::spawn(async move {
             if let Err(error) = connection.await {
@@ -177,30 +180,31 @@
         Ok(sender)
     }
 
-    /// Short calls to engines since the start: reports, orders and cancels.
+    /// Traffic of the control calls to engines since the start of the process:
+    /// reports, orders and cancellations.
     #[must_use]
     pub fn control_traffic(&self) -> ControlTraffic {
         self.0.control.get()
     }
 
-    /// Adds a short call to the counts.
+    /// Adds a control call to the counts.
     pub(crate) fn count_control(&self, call: ControlTraffic) {
         self.0.control.set(self.0.control.get() + call);
     }
 
-    /// Addresses to which a connection is open that no call uses.
+    /// Addresses to which there is an idle open connection.
     #[must_use]
     pub fn idle_addresses(&self) -> HashSet<SocketAddr> {
         self.0.idle.addresses()
     }
 
-    /// Closes the unused connections to addresses that `keep` does not name.
+    /// Closes the idle connections to all addresses for which `keep` returns false.
     pub fn retain_idle(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.0.idle.retain(keep);
     }
 }
 
-/// A connection that has carried nothing yet.
+/// An open connection on which no call was sent yet.
 #[derive(Debug)]
 pub struct FreshConnection {
     sender: Sender,
@@ -209,10 +213,10 @@
 }
 
 impl FreshConnection {
-    /// Sends a call; the only one that this value can send.
+    /// Sends a call and consumes this handle.
     ///
     /// # Errors
-    /// [`SendError`] when no head arrived by `deadline`.
+    /// [`SendError`] when no response head arrived by `deadline`.
     pub async fn send(
         self,
         request: Request<Full<Bytes>>,
@@ -221,11 +225,11 @@
         self.send_if(request, deadline, || true).await
     }
 
-    /// Sends a call, unless it is not wanted any more; the only one that this value can send.
+    /// Sends a call, unless it is no longer wanted, and consumes this handle.
     ///
     /// # Errors
-    /// [`SendError::Withdrawn`] if `is_wanted` says no, any other when no head arrived by
-    /// `deadline`.
+    /// [`SendError::Withdrawn`] if `is_wanted` returns false, any other when no
+    /// response head arrived by `deadline`.
     pub async fn send_if(
         mut self,
         request: Request<Full<Bytes>>,
@@ -236,7 +240,7 @@
             return Err(withdrawn(&self.target));
         }
         let sending = self.sender.try_send_request(request);
-        match within(deadline, &self.target, Step::Head, sending).await? {
+        match with_deadline(deadline, &self.target, Step::Head, sending).await? {
             Ok(response) => {
                 let connections = &self.connections;
                 Ok(UpstreamResponse::new(
@@ -251,12 +255,12 @@
                     Some(_) => Step::Send,
                     None => Step::Head,
                 };
-                Err(broken(&self.target, step, error.error()))
+                Err(connection_failed(&self.target, step, error.error()))
             }
         }
     }
 
-    /// Keeps the connection for a later call; whether it is still open.
+    /// Adds the connection to the idle ones; returns whether it is still open.
     pub fn return_to_pool(self) -> bool {
         let is_open = !self.sender.is_closed();
         let idle = &self.connections.0.idle;
@@ -264,28 +268,28 @@
         is_open
     }
 
-    /// Instance at the other end.
+    /// Instance to which the connection was opened.
     #[must_use]
     pub fn target(&self) -> &Target {
         &self.target
     }
 }
 
-/// Has the kernel probe a connection whose other end says nothing.
+/// Enables TCP keepalive probes and a limit on unacknowledged data.
 ///
-/// A peer behind a partition or without power resets nothing; without probes
-/// an answer would be awaited up to its deadline.
-fn watch_for_silence(stream: &TcpStream) {
+/// A peer that is partitioned off or has lost power sends no reset; without
+/// probes a call would wait for its response until its deadline.
+fn enable_keepalive(stream: &TcpStream) {
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_PERIOD)
-        .with_interval(PROBE_PERIOD)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     let socket = SockRef::from(stream);
-    let set = socket
+    let result = socket
         .set_tcp_keepalive(&probes)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(PROBE_PERIOD * PROBES)));
-    if let Err(error) = set {
-        log::debug!("upstream: connection without probes: {error}");
+        .and_then(|()| socket.set_tcp_user_timeout(Some(KEEPALIVE_INTERVAL * KEEPALIVE_PROBES)));
+    if let Err(error) = result {
+        log::debug!("upstream: TCP keepalive could not be enabled: {error}");
     }
 }
 
@@ -295,7 +299,11 @@
     }
 }
 
-fn broken(target: &Target, step: Step, error: &(impl std::error::Error + ?Sized)) -> SendError {
+fn connection_failed(
+    target: &Target,
+    step: Step,
+    error: &(impl std::error::Error + ?Sized),
+) -> SendError {
     let cause = match error.source() {
         Some(source) => format!("{error}: {source}"),
         None => error.to_string(),
@@ -307,8 +315,8 @@
     }
 }
 
-/// Waits for `future` until `deadline`.
-pub(crate) async fn within<T>(
+/// Awaits `future` until `deadline`; [`SendError::Timeout`] at `step` after it.
+pub(crate) async fn with_deadline<T>(
     deadline: Instant,
     target: &Target,
     step: Step,
--- a/crates/upstream/src/connection/answer.rs
+++ b/crates/upstream/src/connection/response.rs
@@ -1,4 +1,5 @@
-//! An answer, and its connection's way back among the unused ones.
+//! Response of an upstream, which returns its connection to the pool of idle
+//! ones once the body is complete.
 
 use std::time::{Duration, Instant};
 
@@ -8,22 +9,22 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-use super::{Connections, Sender, broken, within};
+use super::{Connections, Sender, connection_failed, with_deadline};
 use crate::Target;
 use crate::error::{SendError, Step};
 
-/// Header in which the other end announces how long it keeps a connection.
-const KEEP_ALIVE: &str = "keep-alive";
+/// Header with which a server announces its timeout for idle connections.
+const KEEP_ALIVE_HEADER: &str = "keep-alive";
 
-/// Head of an answer and the way to its body.
+/// Head of a response, with access to its body.
 ///
-/// Invariant: `sender` goes back only once the body was read to its end;
-/// dropped before, it closes the connection.
+/// Invariant: `sender` is returned to the pool only after the body was read to
+/// its end. Dropping the response earlier closes the connection.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// Status of the answer.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Headers of the answer.
+    /// Headers of the response.
     pub headers: HeaderMap,
     target: Target,
     body: Option<Incoming>,
@@ -49,10 +50,11 @@
         }
     }
 
-    /// Reads the body whole, up to `limit_bytes`.
+    /// Reads the body to its end, up to `limit_bytes`.
     ///
     /// # Errors
-    /// [`SendError`] when it breaks, is longer, or is not whole by `deadline`.
+    /// [`SendError`] when the connection fails, the body exceeds the limit, or it
+    /// is not complete by `deadline`.
     pub async fn bytes(
         mut self,
         limit_bytes: usize,
@@ -62,7 +64,8 @@
             return Ok(Bytes::new());
         };
         let limited = http_body_util::Limited::new(body, limit_bytes);
-        let collected = within(deadline, &self.target, Step::Body, limited.collect()).await?;
+        let collected =
+            with_deadline(deadline, &self.target, Step::Body, limited.collect()).await?;
         match collected {
             Ok(collected) => {
                 self.release();
@@ -76,41 +79,42 @@
         }
     }
 
-    /// Chunks of the body as they come.
+    /// Streams the body, one chunk at a time.
     pub fn chunks(mut self) -> impl Stream<Item = Result<Bytes, SendError>> {
         let body = self.body.take();
         let chunks = body.map(|body| body.into_data_stream());
-        futures_util::stream::unfold((self, chunks), |(mut answer, chunks)| async move {
+        futures_util::stream::unfold((self, chunks), |(mut response, chunks)| async move {
             let mut chunks = chunks?;
             match chunks.next().await {
-                Some(Ok(chunk)) => Some((Ok(chunk), (answer, Some(chunks)))),
+                Some(Ok(chunk)) => Some((Ok(chunk), (response, Some(chunks)))),
                 Some(Err(error)) => {
-                    let error = broken(&answer.target, Step::Body, &error);
-                    Some((Err(error), (answer, None)))
+                    let error = connection_failed(&response.target, Step::Body, &error);
+                    Some((Err(error), (response, None)))
                 }
                 None => {
-                    answer.release();
+                    response.release();
                     None
                 }
             }
         })
     }
 
-    /// Gives the connection back; only right after the body's end.
+    /// Returns the connection to the pool. Must only be called after the body was
+    /// read to its end.
     fn release(&mut self) {
         if let Some(sender) = self.sender.take() {
-            let announced = idle_timeout(&self.headers);
+            let keep_alive_timeout = keep_alive_timeout(&self.headers);
             self.connections
                 .0
                 .idle
-                .put(self.target.address, sender, announced);
+                .put(self.target.address, sender, keep_alive_timeout);
         }
     }
 }
 
-/// Time after which the other end closes an unused connection, if it says so.
-fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
-    let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
+/// Time after which the server closes an idle connection, if it announces one.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let value = headers.get(KEEP_ALIVE_HEADER)?.to_str().ok()?;
     let mut parts = value.split(',').map(str::trim);
     let seconds = parts.find_map(|part| part.strip_prefix("timeout="))?;
     seconds.parse().ok().map(Duration::from_secs)
--- a/crates/upstream/src/engine/attempt.rs
+++ b/crates/upstream/src/engine/attempt.rs
@@ -1,4 +1,4 @@
-//! Starting an attempt and taking one up again.
+//! Starting and resuming of attempts.
 
 use std::time::Instant;
 
@@ -9,89 +9,89 @@
 use mangofront_prompt::Endpoint;
 
 use super::cancel::CancelGuard;
-use super::json::{plain, protocol, refusal};
+use super::json::{json_request, protocol_error, refusal_error};
 use super::stream::EngineStream;
 use crate::Target;
 use crate::connection::Connections;
 use crate::error::SendError;
 
-/// Id of a request, unique in the fleet.
+/// Id of a request, unique across the fleet.
 pub type RequestId = String;
 
-/// Number of an attempt within its request, from 1.
+/// Number of an attempt within its request, starting at 1.
 pub type AttemptNumber = u32;
 
-/// One attempt at a request, as an engine takes it.
+/// One attempt at a request, as it is sent to an engine.
 #[derive(Debug, Clone)]
 pub struct GenerateCall {
-    /// Endpoint the body was sent to.
+    /// Endpoint to which the caller sent the body.
     pub endpoint: Endpoint,
-    /// Caller's body, unchanged.
+    /// Body from the caller, unchanged.
     pub body: Bytes,
-    /// Request it belongs to.
+    /// Id of the request.
     pub request: RequestId,
     /// Number of this attempt.
     pub attempt: AttemptNumber,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// First token wanted.
+    /// Offset of the first token to return.
     pub resume_offset: u32,
-    /// Memory reservation to compute under.
+    /// Id of the memory reservation to use.
     pub reservation: Option<String>,
-    /// Time by which the answer must have ended.
+    /// Time by which the answer must be complete.
     pub deadline: Instant,
 }
 
-/// Starts one attempt; returns once the engine has queued it, which it says at
-/// once and has to by `queued_by`.
+/// Starts an attempt; returns once the engine has queued it. The engine confirms
+/// that immediately, and must do so by `queue_deadline`.
 ///
-/// The stream cancels its attempt at the engine when it is dropped unfinished.
+/// Dropping the stream before its end cancels the attempt at the engine.
 ///
 /// # Errors
-/// [`SendError`]; a refusal carries the engine's own error.
+/// [`SendError`]; a refusal contains the engine's error.
 pub async fn generate(
     connections: &Connections,
     target: &Target,
     call: GenerateCall,
-    queued_by: Instant,
+    queue_deadline: Instant,
 ) -> Result<EngineStream, SendError> {
     let guard = CancelGuard::new(connections, target, &call);
     let request = generate_request(target, &call)?;
-    let answer = match connections.send(target, request, queued_by).await {
-        Ok(answer) => answer,
+    let response = match connections.send(target, request, queue_deadline).await {
+        Ok(response) => response,
         Err(error) => {
             guard.resolve(error.outcome());
             return Err(error);
         }
     };
-    if answer.status != StatusCode::OK {
-        let error = refusal(target, answer, queued_by).await;
+    if response.status != StatusCode::OK {
+        let error = refusal_error(target, response, queue_deadline).await;
         guard.resolve(error.outcome());
         return Err(error);
     }
-    Ok(EngineStream::new(target, call, answer, guard))
+    Ok(EngineStream::new(target, call, response, guard))
 }
 
-/// Takes a stream up again at the same engine, from its next token; the
-/// engine has `until` to answer.
+/// Resumes a stream at the same engine from the call's `resume_offset`; the engine
+/// must respond by `deadline`.
 ///
 /// # Errors
-/// [`SendError`]; refused with 404 when the engine no longer has it.
+/// [`SendError`]; refused with 404 when the engine no longer has the stream.
 pub async fn resume(
     connections: &Connections,
     target: &Target,
     stream: &str,
     call: GenerateCall,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<EngineStream, SendError> {
     let guard = CancelGuard::new(connections, target, &call);
     let path = format!("/v1/streams/{stream}?offset={}", call.resume_offset);
-    let request = plain(target, Method::GET, &path, Bytes::new())?;
-    let answer = connections.send(target, request, until).await?;
-    if answer.status != StatusCode::OK {
-        return Err(refusal(target, answer, until).await);
+    let request = json_request(target, Method::GET, &path, Bytes::new())?;
+    let response = connections.send(target, request, deadline).await?;
+    if response.status != StatusCode::OK {
+        return Err(refusal_error(target, response, deadline).await);
     }
-    Ok(EngineStream::new(target, call, answer, guard))
+    Ok(EngineStream::new(target, call, response, guard))
 }
 
 fn generate_request(
@@ -102,8 +102,8 @@
         Endpoint::Completions => "/v1/completions",
         Endpoint::ChatCompletions => "/v1/chat/completions",
     };
-    let left = call.deadline.saturating_duration_since(Instant::now());
-    let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+    let remaining = call.deadline.saturating_duration_since(Instant::now());
+    let remaining_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
     let mut builder = Request::builder()
         .method(Method::POST)
         .uri(path)
@@ -115,7 +115,7 @@
             headers::PRIORITY,
             HeaderValue::from(u16::from(call.priority)),
         )
-        .header(headers::DEADLINE_MS, HeaderValue::from(left_ms))
+        .header(headers::DEADLINE_MS, HeaderValue::from(remaining_ms))
         .header(
             headers::RESUME_OFFSET,
             HeaderValue::from(call.resume_offset),
@@ -125,5 +125,5 @@
     }
     builder
         .body(Full::new(call.body.clone()))
-        .map_err(|error| protocol(target, &error))
+        .map_err(|error| protocol_error(target, &error))
 }
--- a/crates/upstream/src/engine/cancel.rs
+++ b/crates/upstream/src/engine/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancelling attempts, by a call or by dropping what stands for one.
+//! Cancellation of attempts, by a call or by dropping a guard.
 
 use std::time::{Duration, Instant};
 
@@ -12,13 +12,15 @@
 use crate::connection::Connections;
 use crate::error::SendError;
 
-/// Time for an engine to take a cancel.
+/// Time limit of one cancel call.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Tries of a cancel, so that one lost packet does not hold memory.
-const CANCEL_TRIES: u32 = 3;
+/// Calls to cancel one attempt, so that a lost packet does not keep the engine's
+/// memory in use.
+const CANCEL_ATTEMPTS: u32 = 3;
 
-/// Cancels an attempt; idempotent, and binding also for one that arrives later.
+/// Cancels an attempt. Idempotent; an attempt that arrives at the engine after its
+/// cancellation is cancelled too.
 ///
 /// # Errors
 /// [`SendError`] when the engine did not confirm.
@@ -34,7 +36,7 @@
     Ok(())
 }
 
-/// Cancels an attempt when dropped, unless it is known to be over.
+/// Cancels an attempt when dropped, unless it is known to have ended.
 #[derive(Debug)]
 pub(super) struct CancelGuard {
     connections: Connections,
@@ -55,14 +57,15 @@
         }
     }
 
-    pub(super) fn finished(&mut self) {
+    pub(super) fn disarm(&mut self) {
         self.armed = false;
     }
 
-    /// Ends the guard of an attempt that failed with `outcome`.
+    /// Drops the guard of an attempt that failed with `outcome`; cancels the attempt
+    /// unless it did not run.
     pub(super) fn resolve(mut self, outcome: Outcome) {
         if outcome == Outcome::NotRun {
-            self.finished();
+            self.disarm();
         }
     }
 }
@@ -77,25 +80,25 @@
         let request = std::mem::take(&mut self.request);
         let attempt = self.attempt;
         compio::runtime::spawn(async move {
-            cancel_persistently(&connections, &target, &request, attempt).await;
+            cancel_with_retries(&connections, &target, &request, attempt).await;
         })
         .detach();
     }
 }
 
-async fn cancel_persistently(
+async fn cancel_with_retries(
     connections: &Connections,
     target: &Target,
     request: &str,
     attempt: AttemptNumber,
 ) {
-    for _ in 0..CANCEL_TRIES {
+    for _ in 0..CANCEL_ATTEMPTS {
         match cancel(connections, target, request, attempt).await {
             Ok(()) => return,
-            Err(error) => log::debug!("upstream: cancel of {request} failed: {error}"),
+            Err(error) => log::debug!("upstream: cancelling {request} failed: {error}"),
         }
     }
-    // The engine's own resume window ends an attempt that nobody reads.
+    // The engine ends an attempt that nobody reads once its resume window is over.
     let peer: &InstanceId = &target.instance;
-    log::warn!("upstream: cancel of {request} at {peer} was not confirmed");
+    log::warn!("upstream: {peer} did not confirm the cancellation of {request}");
 }
--- a/crates/upstream/src/engine/json.rs
+++ b/crates/upstream/src/engine/json.rs
@@ -1,4 +1,4 @@
-//! Calls of an engine that carry JSON, and its refusals.
+//! JSON calls to engines, and the errors that engines return.
 
 use std::time::Instant;
 
@@ -10,18 +10,19 @@
 use crate::Target;
 use crate::connection::{Connections, UpstreamResponse};
 use crate::error::SendError;
-use crate::traffic::{ControlTraffic, answer_head_bytes, request_bytes};
+use crate::traffic::{ControlTraffic, request_bytes, response_head_bytes};
 
-/// Largest JSON answer read from an engine, in bytes.
-const REPORT_LIMIT_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of a JSON response of an engine, in bytes.
+const RESPONSE_LIMIT_BYTES: usize = 8 * 1024 * 1024;
 
-/// Largest error answer read from an engine, in bytes.
+/// Maximum size of an error response of an engine, in bytes.
 const ERROR_LIMIT_BYTES: usize = 64 * 1024;
 
-/// Reads a JSON report of an engine (`GET` of `path`); `None` for 204.
+/// Reads a JSON report of an engine with a `GET` of `path`; `None` for an empty
+/// response, such as 204.
 ///
 /// # Errors
-/// [`SendError`]; [`SendError::Protocol`] when it is not of type `T`.
+/// [`SendError`]; [`SendError::Protocol`] when the report is not of type `T`.
 pub async fn report<T: serde::de::DeserializeOwned>(
     connections: &Connections,
     target: &Target,
@@ -31,10 +32,10 @@
     call_json(connections, target, Method::GET, path, None, deadline).await
 }
 
-/// Sends JSON to an engine and reads its JSON answer; `None` for an empty one.
+/// Sends JSON to an engine and reads its JSON response; `None` for an empty one.
 ///
 /// # Errors
-/// [`SendError`]; a status outside 2xx is [`SendError::Refused`].
+/// [`SendError`]; [`SendError::Refused`] for a status other than 2xx.
 pub async fn call_json<T: serde::de::DeserializeOwned>(
     connections: &Connections,
     target: &Target,
@@ -45,29 +46,29 @@
 ) -> Result<Option<T>, SendError> {
     let body = body.unwrap_or_default();
     let body_bytes = body.len();
-    let request = plain(target, method, path, body)?;
+    let request = json_request(target, method, path, body)?;
     let bytes_sent = request_bytes(&request, body_bytes);
-    let answer = connections.send(target, request, deadline).await?;
+    let response = connections.send(target, request, deadline).await?;
     let mut traffic = ControlTraffic {
         calls: 1,
         bytes_sent,
-        bytes_received: answer_head_bytes(answer.status, &answer.headers),
+        bytes_received: response_head_bytes(response.status, &response.headers),
     };
-    if !answer.status.is_success() {
+    if !response.status.is_success() {
         connections.count_control(traffic);
-        return Err(refusal(target, answer, deadline).await);
+        return Err(refusal_error(target, response, deadline).await);
     }
-    let content = answer.bytes(REPORT_LIMIT_BYTES, deadline).await?;
+    let content = response.bytes(RESPONSE_LIMIT_BYTES, deadline).await?;
     traffic.bytes_received += content.len() as u64;
     connections.count_control(traffic);
     if content.is_empty() {
         return Ok(None);
     }
-    let value = serde_json::from_slice(&content).map_err(|error| protocol(target, &error))?;
+    let value = serde_json::from_slice(&content).map_err(|error| protocol_error(target, &error))?;
     Ok(Some(value))
 }
 
-pub(super) fn plain(
+pub(super) fn json_request(
     target: &Target,
     method: Method,
     path: &str,
@@ -79,29 +80,29 @@
         .header(header::HOST, target.address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
         .body(Full::new(body))
-        .map_err(|error| protocol(target, &error))
+        .map_err(|error| protocol_error(target, &error))
 }
 
-pub(super) fn protocol(target: &Target, error: &dyn std::error::Error) -> SendError {
+pub(super) fn protocol_error(target: &Target, error: &dyn std::error::Error) -> SendError {
     SendError::Protocol {
         peer: target.instance.clone(),
         cause: error.to_string(),
     }
 }
 
-/// Error that an engine gave with its answer's head.
-pub(super) async fn refusal(
+/// Error for a response of an engine with a status other than success.
+pub(super) async fn refusal_error(
     target: &Target,
-    answer: UpstreamResponse,
+    response: UpstreamResponse,
     deadline: Instant,
 ) -> SendError {
-    let status = answer.status;
-    let content = answer
+    let status = response.status;
+    let content = response
         .bytes(ERROR_LIMIT_BYTES, deadline)
         .await
         .unwrap_or_default();
     let body = serde_json::from_slice::<ErrorBody>(&content).unwrap_or_else(|_| {
-        // An engine that gives no error body has said nothing of the work.
+        // Without an error body nothing is known about the execution.
         ErrorBody::new(
             "upstream_error",
             Outcome::Failed,
--- a/crates/upstream/src/engine/mod.rs
+++ b/crates/upstream/src/engine/mod.rs
@@ -1,9 +1,10 @@
-//! The engine's dialect: start, frames, resume, cancel, load and cache reports.
+//! Protocol of the engines: generation, frames, resumption, cancellation, load
+//! and cache reports.
 //!
-//! Every frame names its request, attempt and token offset. [`EngineStream`]
-//! passes on only frames of its own attempt at the next offset. Whatever ends
-//! an attempt early cancels it at the engine, unless the engine is known not
-//! to run it.
+//! Every frame contains its request, attempt and token offset. [`EngineStream`]
+//! returns only frames of its own attempt at the next offset. An attempt that
+//! ends early for any reason is cancelled at the engine, unless the engine is
+//! known not to run it.
 
 mod attempt;
 mod cancel;
--- a/crates/upstream/src/engine/stream.rs
+++ b/crates/upstream/src/engine/stream.rs
@@ -1,8 +1,7 @@
-//! The frames of one attempt, as its reader may see them.
+//! Stream of the frames of one attempt.
 //!
-//! Of what the engine sends, only frames of the own attempt at the next offset
-//! are passed on: a repeated token and a frame of another attempt are dropped,
-//! a gap is an error.
+//! Only frames of the stream's own attempt at the next offset are returned:
+//! repeated tokens and frames of other attempts are discarded, a gap is an error.
 
 use std::pin::Pin;
 use std::time::{Duration, Instant};
@@ -15,13 +14,13 @@
 use super::attempt::{AttemptNumber, GenerateCall, RequestId};
 use super::cancel::CancelGuard;
 use crate::Target;
-use crate::connection::{UpstreamResponse, within};
+use crate::connection::{UpstreamResponse, with_deadline};
 use crate::error::{SendError, Step};
 
-/// Time for an engine to end its stream after the last token.
+/// Time limit for an engine to end its stream after the last token.
 const END_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One token of an answer.
+/// One token of an answer, as the engine sends it.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Frame {
     /// Request it belongs to.
@@ -44,18 +43,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// Engine came to its own end.
+    /// The model ended the answer.
     Stop,
-    /// Longest answer reached.
+    /// The answer reached its maximum length.
     Length,
 }
 
-/// Tokens that a request took.
+/// Token counts of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt found in the prefix cache.
+    /// Tokens of the prompt that were in the prefix cache.
     #[serde(default)]
     pub cached_tokens: u64,
     /// Tokens of the answer.
@@ -64,7 +63,7 @@
 
 /// Frames of one attempt, in order and without gaps.
 ///
-/// Invariant: `next_offset` is the only offset that is passed on.
+/// Invariant: only a frame at `next_offset` is returned.
 pub struct EngineStream {
     target: Target,
     call: GenerateCall,
@@ -88,10 +87,10 @@
     pub(super) fn new(
         target: &Target,
         call: GenerateCall,
-        answer: UpstreamResponse,
+        response: UpstreamResponse,
         guard: CancelGuard,
     ) -> Self {
-        let stream = answer
+        let stream = response
             .headers
             .get(headers::STREAM_ID)
             .and_then(|value| value.to_str().ok())
@@ -100,13 +99,13 @@
             target: target.clone(),
             stream,
             next_offset: call.resume_offset,
-            events: Box::pin(events(answer.chunks())),
+            events: Box::pin(events(response.chunks())),
             guard,
             call,
         }
     }
 
-    /// Id to resume by, when the engine gave one.
+    /// Id with which the stream can be resumed, if the engine returned one.
     #[must_use]
     pub fn stream_id(&self) -> Option<&str> {
         self.stream.as_deref()
@@ -115,18 +114,20 @@
     /// Next token of the answer; the last one has a finish reason.
     ///
     /// # Errors
-    /// [`SendError`] when the stream breaks off, skips a token, or shows no
-    /// token until `deadline`.
+    /// [`SendError`] when the stream is interrupted, skips a token, or yields no
+    /// token by `deadline`.
     pub async fn next(&mut self, deadline: Instant) -> Result<Frame, SendError> {
         loop {
-            let waiting = self.events.next();
-            let event = match within(deadline, &self.target, Step::Body, waiting).await? {
+            let next_event = self.events.next();
+            let event = match with_deadline(deadline, &self.target, Step::Body, next_event).await? {
                 Some(Ok(event)) => event,
-                Some(Err(error)) => return Err(self.broken(error.to_string())),
-                None => return Err(self.broken("ended without its last token".to_owned())),
+                Some(Err(error)) => return Err(self.connection_failed(error.to_string())),
+                None => {
+                    return Err(self.connection_failed("ended without its last token".to_owned()));
+                }
             };
-            let frame = self.read(&event)?;
-            if !self.is_own(&frame) || frame.offset < self.next_offset {
+            let frame = self.parse(&event)?;
+            if !self.belongs_to_attempt(&frame) || frame.offset < self.next_offset {
                 continue;
             }
             if frame.offset > self.next_offset {
@@ -135,19 +136,19 @@
             }
             self.next_offset += 1;
             if frame.finish_reason.is_some() {
-                self.guard.finished();
-                self.read_end().await;
+                self.guard.disarm();
+                self.read_to_end().await;
             }
             return Ok(frame);
         }
     }
 
-    /// Leaves the attempt running at the engine, to be resumed.
+    /// Drops the stream without cancelling the attempt, so that it can be resumed.
     pub fn detach(mut self) {
-        self.guard.finished();
+        self.guard.disarm();
     }
 
-    fn read(&self, event: &Event) -> Result<Frame, SendError> {
+    fn parse(&self, event: &Event) -> Result<Frame, SendError> {
         if let Ok(frame) = serde_json::from_str::<Frame>(&event.data) {
             return Ok(frame);
         }
@@ -161,19 +162,21 @@
         }
     }
 
-    fn is_own(&self, frame: &Frame) -> bool {
+    fn belongs_to_attempt(&self, frame: &Frame) -> bool {
         frame.request == self.call.request && frame.attempt == self.call.attempt
     }
 
-    /// Reads past `[DONE]`, so that the connection can be used again.
-    async fn read_end(&mut self) {
+    /// Reads to the end of the body, past `[DONE]`, so that the connection can be
+    /// reused.
+    async fn read_to_end(&mut self) {
         let deadline = Instant::now() + END_TIMEOUT;
         let end = async { while let Some(Ok(_)) = self.events.next().await {} };
-        // A connection that does not end is closed instead of kept.
+        // If the body does not end in time, the connection is closed instead of
+        // reused.
         let _ = compio::time::timeout_at(deadline, end).await;
     }
 
-    fn broken(&self, cause: String) -> SendError {
+    fn connection_failed(&self, cause: String) -> SendError {
         SendError::ConnectionFailed {
             step: Step::Body,
             peer: self.target.instance.clone(),
--- a/crates/upstream/src/error.rs
+++ b/crates/upstream/src/error.rs
@@ -10,16 +10,16 @@
 pub enum Step {
     /// Opening a connection; no byte of the call was written.
     Connect,
-    /// Handing the call to a connection that refused it unwritten.
+    /// Passing the call to a connection that returned it without writing a byte.
     Send,
-    /// Waiting for the answer's head; bytes may have been written.
+    /// Waiting for the response's head; bytes may have been written.
     Head,
-    /// Reading the answer's body.
+    /// Reading the response's body.
     Body,
 }
 
 impl Step {
-    /// Name for logs and error bodies.
+    /// Name of the step in logs and error bodies.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -31,58 +31,58 @@
     }
 }
 
-/// A call that got no whole answer.
+/// Reason why a call got no complete response.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// Connection failed.
+    /// The connection failed.
     #[error("{} to {peer} failed: {cause}", step.name())]
     ConnectionFailed {
         /// Step at which it failed.
         step: Step,
-        /// Instance called.
+        /// Instance that was called.
         peer: InstanceId,
-        /// Library's words.
+        /// Error message of the library.
         cause: String,
     },
-    /// Time ran out.
+    /// The deadline passed.
     #[error("{} to {peer} timed out", step.name())]
     Timeout {
-        /// Step at which it happened.
+        /// Step that was in progress.
         step: Step,
-        /// Instance called.
+        /// Instance that was called.
         peer: InstanceId,
     },
-    /// The upstream answered with an error.
+    /// The upstream returned an error.
     #[error("{peer} answered {status}: {}", detail.message)]
     Refused {
-        /// Instance called.
+        /// Instance that was called.
         peer: InstanceId,
-        /// Status of the answer.
+        /// Status of the response.
         status: StatusCode,
-        /// Error it gave.
+        /// Error from the response body.
         detail: Box<ErrorDetail>,
     },
-    /// The caller wanted it no more by the time that it could be written.
+    /// The call was no longer wanted by the time it could be written.
     #[error("the call to {peer} was withdrawn before it was written")]
     Withdrawn {
-        /// Instance that it was meant for.
+        /// Instance to which the call was to be sent.
         peer: InstanceId,
     },
-    /// The upstream broke the protocol.
+    /// The upstream violated the protocol.
     #[error("{peer} broke the protocol: {cause}")]
     Protocol {
-        /// Instance called.
+        /// Instance that was called.
         peer: InstanceId,
-        /// What was wrong.
+        /// Description of the violation.
         cause: String,
     },
 }
 
 impl SendError {
-    /// What is known of the call's execution.
+    /// What is known about the execution of the call.
     ///
-    /// [`Outcome::NotRun`] only where no byte was written, or the upstream
-    /// itself said so.
+    /// [`Outcome::NotRun`] only if no byte was written or the upstream reported
+    /// so.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         match self {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Name of the step, for error bodies.
+    /// Name of the step at which the call failed, for error bodies.
     #[must_use]
     pub fn step_name(&self) -> &'static str {
         match self {
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,10 +1,10 @@
-//! HTTP towards engines and services.
+//! HTTP client for engines and services.
 //!
-//! Owns the connections to upstreams and the engine's dialect ([`engine`]),
-//! and knows of each call whether any byte of it may have reached its
-//! upstream: [`SendError::outcome`]. It decides nothing: `placement` says
-//! where a call goes, `entry` says whether a failed one is tried again. Nothing
-//! here retries by itself.
+//! Owns the connections to upstreams and implements the engines' protocol
+//! ([`engine`]). For each failed call it reports whether any byte of it may have
+//! reached the upstream: [`SendError::outcome`]. It contains no policy:
+//! `placement` decides where a call goes, and `entry` whether a failed one is
+//! retried. Only the idempotent cancellations and releases are retried here.
 
 mod connection;
 pub mod engine;
@@ -21,7 +21,7 @@
 
 use mangofront_settings::ids::InstanceId;
 
-/// An upstream instance and where it listens.
+/// An upstream instance and its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
     /// Name of the instance.
--- a/crates/upstream/src/reservation.rs
+++ b/crates/upstream/src/reservation.rs
@@ -1,11 +1,11 @@
-//! Memory on a group of engines, reserved all or nothing under leases.
+//! Reservation of memory on a group of engines, all or nothing, under leases.
 //!
-//! Members are asked one after the other in the order given, which every
-//! daemon computes alike: two groups that share members meet at the first
-//! shared one, so one of them gets all and neither waits while it holds
-//! something. A refusal frees what was taken. The leases are renewed while the
-//! [`GroupReservation`] lives; when its process dies they run out by
-//! themselves, and when it is dropped they are given back.
+//! Members are asked one after another in the given order, which every daemon
+//! computes identically. So two groups that share members compete at the first
+//! shared one: one of them gets all its memory, and neither waits while it holds
+//! some. A refusal releases the memory reserved so far. The leases are renewed as
+//! long as the [`GroupReservation`] exists. Dropping it releases them; if the
+//! process dies, they expire.
 
 use std::time::{Duration, Instant};
 
@@ -20,51 +20,54 @@
 use crate::engine::{AttemptNumber, RequestId, call_json};
 use crate::error::SendError;
 
-/// Time for an engine to answer a call about a reservation.
+/// Time limit of one call about a reservation.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Renewals within the time of one lease, so that a lost one does no harm.
+/// Renewals within the duration of one lease, so that the lease survives a failed
+/// one.
 const RENEWALS_PER_LEASE: u32 = 3;
 
-/// Tries of a release; the lease frees the memory if all fail.
-const RELEASE_TRIES: u32 = 3;
+/// Calls to release a reservation; if all fail, the memory is freed when the lease
+/// expires.
+const RELEASE_ATTEMPTS: u32 = 3;
 
-/// Memory wanted of one engine.
+/// Memory to reserve on one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Share {
-    /// Engine asked.
+    /// Engine on which to reserve.
     pub target: Target,
-    /// Memory wanted, in tokens.
+    /// Amount of memory, in tokens.
     pub tokens: u64,
 }
 
-/// A share of a long prompt's prefill, as a member takes it.
+/// One member's share of the prefill of a long prompt.
 #[derive(Debug, Clone, Serialize)]
 pub struct Segment {
-    /// Reservation it computes under.
+    /// Id of the reservation to use.
     pub reservation: String,
-    /// Request it belongs to.
+    /// Id of the request.
     pub request: RequestId,
-    /// Attempt it belongs to.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
-    /// Length of the share, in tokens.
+    /// Length of the segment, in tokens.
     pub tokens: u64,
-    /// Prompt before the share, which it attends to, in tokens.
+    /// Length of the prompt before the segment, which the segment attends to, in
+    /// tokens.
     pub offset_tokens: u64,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// Memory held on every engine of a group.
+/// Memory reserved on every engine of a group.
 ///
-/// Invariant: while it lives every member was asked for memory under `id`, and
-/// every member that granted some is in `held`.
+/// Invariant: while this exists, every member was asked for memory under `id`, and
+/// every member that granted some is in `members`.
 #[derive(Debug)]
 pub struct GroupReservation {
     connections: Connections,
     id: String,
-    held: Vec<Target>,
-    /// Ends with the failure by which a lease is lost.
+    members: Vec<Target>,
+    /// Task that renews the leases; it returns the failure by which one is lost.
     renewal: Option<JoinHandle<SendError>>,
 }
 
@@ -80,7 +83,7 @@
     lease_ms: u64,
 }
 
-/// Reserves memory on every engine of `shares`, or on none.
+/// Reserves memory on all engines of `shares`, or on none.
 ///
 /// # Errors
 /// [`SendError`] of the first engine that did not grant its share.
@@ -94,35 +97,37 @@
     let mut group = GroupReservation {
         connections: connections.clone(),
         id: id.to_owned(),
-        held: Vec::with_capacity(shares.len()),
+        members: Vec::with_capacity(shares.len()),
         renewal: None,
     };
     for share in shares {
-        // Held before the answer: a grant whose answer is lost is released too.
-        group.held.push(share.target.clone());
-        reserve_one(connections, id, share, lease, deadline).await?;
+        // Added before the call, so that a grant is released even if its response
+        // is lost.
+        group.members.push(share.target.clone());
+        reserve_share(connections, id, share, lease, deadline).await?;
     }
-    let renewing = renew(
+    let renewal = renew_until_lost(
         connections.clone(),
         id.to_owned(),
-        group.held.clone(),
+        group.members.clone(),
         lease,
     );
-    group.renewal = Some(compio::runtime::spawn(renewing));
+    group.renewal = Some(compio::runtime::spawn(renewal));
     Ok(group)
 }
 
-/// Computes a share of a long prompt's prefill; returns when it is done.
+/// Has an engine compute a segment of a long prompt's prefill, and waits until it
+/// is done.
 ///
 /// # Errors
-/// [`SendError`]; refused with 404 when the reservation ran out.
+/// [`SendError`]; refused with 404 when the reservation has expired.
 pub async fn compute_segment(
     connections: &Connections,
     target: &Target,
     segment: &Segment,
     deadline: Instant,
 ) -> Result<(), SendError> {
-    let body = body(segment);
+    let body = json_body(segment);
     let path = "/v1/segments";
     let call = call_json::<serde::de::IgnoredAny>(
         connections,
@@ -137,13 +142,13 @@
 }
 
 impl GroupReservation {
-    /// Id under which the members hold memory.
+    /// Id of the reservation at all members.
     #[must_use]
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Resolves once a member's lease is lost, by the failure of its renewal.
+    /// Waits until a member's lease is lost, and returns the failure of its renewal.
     pub async fn lease_lost(&mut self) -> SendError {
         if let Some(renewal) = &mut self.renewal {
             let ended = renewal.await;
@@ -160,68 +165,78 @@
     fn drop(&mut self) {
         let connections = self.connections.clone();
         let id = std::mem::take(&mut self.id);
-        let held = std::mem::take(&mut self.held);
+        let members = std::mem::take(&mut self.members);
         compio::runtime::spawn(async move {
-            let releases = held.iter().map(|target| release(&connections, target, &id));
+            let releases = members
+                .iter()
+                .map(|target| release(&connections, target, &id));
             join_all(releases).await;
         })
         .detach();
     }
 }
 
-async fn reserve_one(
+async fn reserve_share(
     connections: &Connections,
     id: &str,
     share: &Share,
     lease: Duration,
     deadline: Instant,
 ) -> Result<(), SendError> {
-    let body = body(&ReserveBody {
+    let body = json_body(&ReserveBody {
         reservation: id,
         tokens: share.tokens,
         lease_ms: milliseconds(lease),
     });
-    let until = deadline.min(Instant::now() + CALL_TIMEOUT);
+    let call_deadline = deadline.min(Instant::now() + CALL_TIMEOUT);
     let call = call_json::<serde::de::IgnoredAny>(
         connections,
         &share.target,
         Method::POST,
         "/v1/reservations",
         Some(body),
-        until,
+        call_deadline,
     );
     call.await?;
     Ok(())
 }
 
-/// Renews the leases until one is lost: refused, or not renewed for its time.
-async fn renew(
+/// Renews the leases until one is lost: its renewal was refused, or did not succeed
+/// for the duration of the lease.
+async fn renew_until_lost(
     connections: Connections,
     id: String,
-    held: Vec<Target>,
+    members: Vec<Target>,
     lease: Duration,
 ) -> SendError {
     let path = format!("/v1/reservations/{id}");
-    let body = body(&RenewBody {
+    let body = json_body(&RenewBody {
         lease_ms: milliseconds(lease),
     });
-    let mut renewed_at = vec![Instant::now(); held.len()];
+    let mut renewed_at = vec![Instant::now(); members.len()];
     loop {
         compio::time::sleep(lease / RENEWALS_PER_LEASE).await;
-        let asked = Instant::now();
-        // At once: a member that does not answer must not hold up the others.
-        let until = Instant::now() + CALL_TIMEOUT;
-        let renewals = held.iter().map(|target| {
+        let sent_at = Instant::now();
+        // Concurrently, as an unresponsive member must not delay the others.
+        let call_deadline = Instant::now() + CALL_TIMEOUT;
+        let renewals = members.iter().map(|target| {
             let body = Some(body.clone());
-            call_json(&connections, target, Method::PUT, &path, body, until)
+            call_json(
+                &connections,
+                target,
+                Method::PUT,
+                &path,
+                body,
+                call_deadline,
+            )
         });
         let renewed: Vec<Result<Option<serde::de::IgnoredAny>, _>> = join_all(renewals).await;
         for (renewed, renewed_at) in renewed.into_iter().zip(&mut renewed_at) {
             let Err(error) = renewed else {
-                *renewed_at = asked;
+                *renewed_at = sent_at;
                 continue;
             };
-            log::warn!("upstream: lease of {id} was not renewed: {error}");
+            log::warn!("upstream: renewing the lease of {id} failed: {error}");
             let is_refused = matches!(error, SendError::Refused { .. });
             if is_refused || renewed_at.elapsed() >= lease {
                 return error;
@@ -232,15 +247,15 @@
 
 async fn release(connections: &Connections, target: &Target, id: &str) {
     let path = format!("/v1/reservations/{id}");
-    for _ in 0..RELEASE_TRIES {
-        let until = Instant::now() + CALL_TIMEOUT;
+    for _ in 0..RELEASE_ATTEMPTS {
+        let call_deadline = Instant::now() + CALL_TIMEOUT;
         let call = call_json::<serde::de::IgnoredAny>(
             connections,
             target,
             Method::DELETE,
             &path,
             None,
-            until,
+            call_deadline,
         );
         match call.await {
             Ok(_) => return,
@@ -248,16 +263,16 @@
                 status: StatusCode::NOT_FOUND,
                 ..
             }) => return,
-            Err(error) => log::debug!("upstream: release of {id} failed: {error}"),
+            Err(error) => log::debug!("upstream: releasing {id} failed: {error}"),
         }
     }
     log::warn!(
-        "upstream: release of {id} at {} was not confirmed",
+        "upstream: {} did not confirm the release of {id}",
         target.instance
     );
 }
 
-fn body(value: &impl Serialize) -> Bytes {
+fn json_body(value: &impl Serialize) -> Bytes {
     // Structs of strings and numbers can't fail to serialise.
     Bytes::from(serde_json::to_vec(value).unwrap_or_default())
 }
--- a/crates/upstream/src/service.rs
+++ b/crates/upstream/src/service.rs
@@ -1,4 +1,4 @@
-//! Calls of services.
+//! Calls to services.
 
 use std::time::Instant;
 
@@ -10,8 +10,8 @@
 use crate::connection::{Connections, FreshConnection, UpstreamResponse};
 use crate::error::SendError;
 
-/// Headers that belong to one connection and are not passed on.
-const HOP_HEADERS: [HeaderName; 7] = [
+/// Headers that apply to one connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::HOST,
     header::CONTENT_LENGTH,
@@ -21,34 +21,34 @@
     header::UPGRADE,
 ];
 
-/// One call of a service.
+/// One call to a service.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// HTTP method.
     pub method: Method,
-    /// Path and query below the service, with its leading slash.
+    /// Path and query relative to the service, with a leading slash.
     pub path_and_query: String,
-    /// Headers of the caller; those of the connection are left out.
+    /// Headers from the caller; hop-by-hop headers are not forwarded.
     pub headers: HeaderMap,
-    /// Body of the caller.
+    /// Body from the caller.
     pub body: Bytes,
 }
 
-/// A service's whole answer.
+/// Complete response of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceResponse {
-    /// Status of the answer.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Headers of the answer, without those of the connection.
+    /// Headers of the response, without the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Body of the answer.
+    /// Body of the response.
     pub body: Bytes,
 }
 
-/// Calls a service and reads its answer whole, up to `limit_bytes`.
+/// Calls a service and reads its complete response, up to `limit_bytes`.
 ///
 /// # Errors
-/// [`SendError`]; its outcome tells whether the call may have run.
+/// [`SendError`]; its outcome says whether the call may have run.
 pub async fn call(
     connections: &Connections,
     target: &Target,
@@ -56,37 +56,37 @@
     limit_bytes: usize,
     deadline: Instant,
 ) -> Result<ServiceResponse, SendError> {
-    let request = request(target, call)?;
-    let answer = connections.send(target, request, deadline).await?;
-    read(answer, limit_bytes, deadline).await
+    let request = build_request(target, call)?;
+    let response = connections.send(target, request, deadline).await?;
+    read_response(response, limit_bytes, deadline).await
 }
 
-/// Sends a call that must not run twice, and reads its answer whole.
+/// Sends a call that must not run twice, and reads its complete response.
 ///
-/// The connection was opened before, so that the caller can decide at the last
+/// The connection is opened beforehand, so that it can be decided at the last
 /// moment whether the call is written at all.
 ///
 /// # Errors
-/// [`SendError`]; its outcome tells whether the call may have run.
+/// [`SendError`]; its outcome says whether the call may have run.
 pub async fn call_once(
-    opened: FreshConnection,
+    connection: FreshConnection,
     call: Call,
     limit_bytes: usize,
     deadline: Instant,
 ) -> Result<ServiceResponse, SendError> {
-    let request = request(opened.target(), call)?;
-    let answer = opened.send(request, deadline).await?;
-    read(answer, limit_bytes, deadline).await
+    let request = build_request(connection.target(), call)?;
+    let response = connection.send(request, deadline).await?;
+    read_response(response, limit_bytes, deadline).await
 }
 
-async fn read(
-    answer: UpstreamResponse,
+async fn read_response(
+    response: UpstreamResponse,
     limit_bytes: usize,
     deadline: Instant,
 ) -> Result<ServiceResponse, SendError> {
-    let status = answer.status;
-    let headers = without_hop_headers(&answer.headers);
-    let body = answer.bytes(limit_bytes, deadline).await?;
+    let status = response.status;
+    let headers = without_hop_by_hop_headers(&response.headers);
+    let body = response.bytes(limit_bytes, deadline).await?;
     Ok(ServiceResponse {
         status,
         headers,
@@ -94,7 +94,7 @@
     })
 }
 
-fn request(target: &Target, call: Call) -> Result<Request<Full<Bytes>>, SendError> {
+fn build_request(target: &Target, call: Call) -> Result<Request<Full<Bytes>>, SendError> {
     let mut request = Request::builder()
         .method(call.method)
         .uri(call.path_and_query)
@@ -104,7 +104,7 @@
             peer: target.instance.clone(),
             cause: error.to_string(),
         })?;
-    *request.headers_mut() = without_hop_headers(&call.headers);
+    *request.headers_mut() = without_hop_by_hop_headers(&call.headers);
     let host = http::HeaderValue::try_from(target.address.to_string());
     if let Ok(host) = host {
         request.headers_mut().insert(header::HOST, host);
@@ -112,10 +112,10 @@
     Ok(request)
 }
 
-fn without_hop_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = headers.clone();
-    for name in &HOP_HEADERS {
-        kept.remove(name);
+fn without_hop_by_hop_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = headers.clone();
+    for name in &HOP_BY_HOP_HEADERS {
+        forwarded.remove(name);
     }
-    kept
+    forwarded
 }
--- a/crates/upstream/tests/connections.rs
+++ b/crates/upstream/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Reuse of connections, and what is known of a call that failed.
+//! Tests of connection reuse, and of the outcome of failed calls.
 
 mod support;
 
@@ -15,27 +15,27 @@
 const LIMIT_BYTES: usize = 1024;
 
 async fn call(connections: &Connections, target: &Target, path: &str) -> Result<String, SendError> {
-    let answer = connections.send(target, get(path), deadline()).await?;
-    let body = answer.bytes(LIMIT_BYTES, deadline()).await?;
+    let response = connections.send(target, get(path), deadline()).await?;
+    let body = response.bytes(LIMIT_BYTES, deadline()).await?;
     Ok(String::from_utf8_lossy(&body).into_owned())
 }
 
 #[compio::test]
-async fn answer_read_whole_leaves_its_connection_to_the_next() {
-    let server = Server::start(Reply::whole).await;
+async fn complete_response_leaves_its_connection_to_the_next_call() {
+    let server = Server::start(Reply::ok).await;
     let connections = connections();
     for path in ["/first", "/second"] {
-        let answer = call(&connections, &server.target, path).await;
-        assert_eq!(answer.unwrap(), format!("GET {path}"));
+        let response = call(&connections, &server.target, path).await;
+        assert_eq!(response.unwrap(), format!("GET {path}"));
     }
-    assert_eq!(server.connections(), [0, 0]);
+    assert_eq!(server.connection_numbers(), [0, 0]);
 }
 
 #[compio::test]
-async fn answer_dropped_early_closes_its_connection() {
+async fn response_dropped_early_closes_its_connection() {
     let server = Server::start(|call| match call {
-        "GET /first" => Reply::unfinished(&["late".to_owned()]),
-        _ => Reply::whole("second"),
+        "GET /first" => Reply::open_stream(&["late".to_owned()]),
+        _ => Reply::ok("second"),
     })
     .await;
     let connections = connections();
@@ -48,26 +48,28 @@
     }
     let second = call(&connections, &server.target, "/second").await;
     assert_eq!(second.unwrap(), "second");
-    assert_eq!(server.connections(), [0, 1]);
-    server.closed(1).await;
+    assert_eq!(server.connection_numbers(), [0, 1]);
+    server.wait_closed(1).await;
 }
 
 #[compio::test]
-async fn call_of_its_own_takes_no_used_connection() {
-    let server = Server::start(Reply::whole).await;
+async fn fresh_connection_is_opened_despite_an_idle_one() {
+    let server = Server::start(Reply::ok).await;
     let connections = connections();
     call(&connections, &server.target, "/first").await.unwrap();
     let opened = connections.open(&server.target, deadline()).await.unwrap();
     opened.send(get("/once"), deadline()).await.unwrap();
-    assert_eq!(server.connections(), [0, 1]);
+    assert_eq!(server.connection_numbers(), [0, 1]);
 }
 
 #[compio::test]
-async fn failure_to_connect_is_not_run() {
+async fn failure_to_connect_has_the_outcome_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let nobody = target(listener.local_addr().unwrap());
+    let closed_port = target(listener.local_addr().unwrap());
     drop(listener);
-    let error = call(&connections(), &nobody, "/call").await.unwrap_err();
+    let error = call(&connections(), &closed_port, "/call")
+        .await
+        .unwrap_err();
     assert!(
         matches!(
             error,
@@ -82,14 +84,14 @@
 }
 
 #[compio::test]
-async fn connection_closed_after_the_request_is_unknown() {
+async fn connection_closed_after_the_request_has_an_unknown_outcome() {
     let server = Server::start(|call| match call {
-        "GET /good" => Reply::whole("good"),
-        _ => Reply::none(),
+        "GET /good" => Reply::ok("good"),
+        _ => Reply::nothing(),
     })
     .await;
     let connections = connections();
-    // The first on a fresh connection, the second on a used one.
+    // The first failure is on a new connection, the second on a reused one.
     for before in [None, Some("/good")] {
         if let Some(path) = before {
             call(&connections, &server.target, path).await.unwrap();
@@ -99,13 +101,13 @@
         assert_eq!(error.outcome(), Outcome::Unknown, "{error:?}");
     }
     assert_eq!(server.calls(), ["GET /bad", "GET /good", "GET /bad"]);
-    assert_eq!(server.connections(), [0, 1, 1]);
+    assert_eq!(server.connection_numbers(), [0, 1, 1]);
 }
 
 #[compio::test]
-async fn body_cut_short_is_unknown() {
+async fn truncated_body_has_an_unknown_outcome() {
     let server = Server::start(|_| {
-        let mut reply = Reply::whole("whole").and_close();
+        let mut reply = Reply::ok("complete").and_close();
         reply.raw.pop();
         reply
     })
@@ -117,22 +119,26 @@
 }
 
 #[compio::test]
-async fn nothing_is_sent_twice_when_a_connection_closes_unused() {
-    let server = Server::start(|_| Reply::whole("done").and_close()).await;
+async fn no_call_is_sent_twice_when_idle_connections_are_closed() {
+    let server = Server::start(|_| Reply::ok("done").and_close()).await;
     let connections = connections();
     let mut outcomes = BTreeMap::new();
     for number in 0..60 {
         let path = format!("/{number}");
-        let answer = call(&connections, &server.target, &path).await;
-        outcomes.insert(path, answer.map_err(|error| error.outcome()));
-        // Some calls meet the closing of the connection, others come after it.
+        let response = call(&connections, &server.target, &path).await;
+        outcomes.insert(path, response.map_err(|error| error.outcome()));
+        // Some calls are sent while the connection is being closed, others after it.
         if number % 3 == 0 {
-            server.closed(server.seen().len()).await;
+            server.wait_closed(server.received().len()).await;
         }
     }
     for (path, outcome) in &outcomes {
         let call = format!("GET {path}");
-        let runs = server.calls().iter().filter(|seen| **seen == call).count();
+        let runs = server
+            .calls()
+            .iter()
+            .filter(|received| **received == call)
+            .count();
         match outcome {
             Ok(_) => assert_eq!(runs, 1, "{path}"),
             Err(Outcome::NotRun) => assert_eq!(runs, 0, "{path}"),
@@ -142,11 +148,11 @@
     assert!(outcomes.values().filter(|outcome| outcome.is_ok()).count() >= 20);
 }
 
-/// A call may become unwanted while its connection is opened, or waits unused: its upstream
-/// has said that it leaves.
+/// Guards against calls to an upstream that has announced its shutdown: a call may become
+/// unwanted while its connection is opened, or before it takes an idle one.
 #[compio::test]
-async fn call_that_is_not_wanted_any_more_is_not_written() {
-    let server = Server::start(Reply::whole).await;
+async fn withdrawn_call_is_not_written() {
+    let server = Server::start(Reply::ok).await;
     let connections = connections();
     let withdrawn = connections.send_if(&server.target, get("/new"), deadline(), || false);
     let error = withdrawn.await.unwrap_err();
@@ -158,5 +164,5 @@
     let opened = connections.open(&server.target, deadline()).await.unwrap();
     let withdrawn = opened.send_if(get("/own"), deadline(), || false).await;
     assert!(withdrawn.is_err());
-    assert_eq!(server.connections().len(), 1, "one call was written");
+    assert_eq!(server.connection_numbers().len(), 1, "one call was written");
 }
--- a/crates/upstream/tests/engine.rs
+++ b/crates/upstream/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's dialect against a scripted engine.
+//! Tests of the engine protocol against a scripted engine.
 
 mod support;
 
@@ -10,13 +10,13 @@
 
 use support::{Reply, Server, connections, deadline, get};
 
-const START: &str = "POST /v1/completions";
+const START_CALL: &str = "POST /v1/completions";
 
-const CANCEL: &str = "DELETE /v1/requests/request-1/attempts/2";
+const CANCEL_CALL: &str = "DELETE /v1/requests/request-1/attempts/2";
 
-const AFTER: &str = "GET /after";
+const LATER_CALL: &str = "GET /after";
 
-const CALLS_AFTER: usize = 20;
+const LATER_CALLS: usize = 20;
 
 fn attempt(resume_offset: u32) -> GenerateCall {
     GenerateCall {
@@ -41,14 +41,14 @@
     frame(2, offset, "")
 }
 
-fn last(offset: u32) -> String {
+fn last_token(offset: u32) -> String {
     frame(2, offset, r#","finish_reason":"length""#)
 }
 
-/// Engine whose every stream is `reply`; other calls are confirmed.
+/// Engine that answers starts and resumptions with `reply`, and confirms other calls.
 async fn engine(reply: fn() -> Reply) -> Server {
     Server::start(move |call| match call {
-        START => reply(),
+        START_CALL => reply(),
         call if call.starts_with("GET /v1/streams") => reply(),
         _ => Reply::status("204 No Content", ""),
     })
@@ -59,27 +59,27 @@
     generate(connections, &server.target, attempt(0), deadline()).await
 }
 
-/// Calls that follow; enough of them that a cancel would have arrived between.
-async fn calls_after(connections: &Connections, server: &Server) {
-    for _ in 0..CALLS_AFTER {
-        let answer = connections.send(&server.target, get("/after"), deadline());
-        let answer = answer.await.expect("an answer");
-        answer.bytes(0, deadline()).await.expect("an empty body");
+/// Sends further calls, enough of them for a cancel to arrive among them.
+async fn send_later_calls(connections: &Connections, server: &Server) {
+    for _ in 0..LATER_CALLS {
+        let response = connections.send(&server.target, get("/after"), deadline());
+        let response = response.await.expect("a response");
+        response.bytes(0, deadline()).await.expect("an empty body");
     }
 }
 
-fn start_and_calls_after() -> Vec<&'static str> {
-    let mut calls = vec![AFTER; CALLS_AFTER + 1];
-    calls[0] = START;
+fn start_and_later_calls() -> Vec<&'static str> {
+    let mut calls = vec![LATER_CALL; LATER_CALLS + 1];
+    calls[0] = START_CALL;
     calls
 }
 
 #[compio::test]
-async fn only_the_attempts_own_next_frames_pass() {
+async fn only_the_next_frames_of_the_own_attempt_are_returned() {
     let server = engine(|| {
         let other = frame(1, 0, "");
-        let frames = [other, token(0), token(0), token(1), token(0), last(2)];
-        Reply::finished(&frames)
+        let frames = [other, token(0), token(0), token(1), token(0), last_token(2)];
+        Reply::complete_stream(&frames)
     })
     .await;
     let connections = connections();
@@ -90,28 +90,33 @@
         let finish = (offset == 2).then_some(FinishReason::Length);
         assert_eq!(frame.finish_reason, finish);
     }
-    // A finished attempt is not cancelled, and its connection is used again.
+    // A complete attempt is not cancelled, and its connection is reused.
     drop(stream);
-    calls_after(&connections, &server).await;
-    assert_eq!(server.calls(), start_and_calls_after());
-    assert!(server.seen().iter().all(|seen| seen.connection == 0));
+    send_later_calls(&connections, &server).await;
+    assert_eq!(server.calls(), start_and_later_calls());
+    assert!(
+        server
+            .received()
+            .iter()
+            .all(|received| received.connection == 0)
+    );
 }
 
 #[compio::test]
-async fn gap_is_an_error_and_cancels() {
-    let server = engine(|| Reply::unfinished(&[token(0), token(2)])).await;
+async fn gap_is_an_error_and_cancels_the_attempt() {
+    let server = engine(|| Reply::open_stream(&[token(0), token(2)])).await;
     let mut stream = start(&connections(), &server).await.unwrap();
     stream.next(deadline()).await.unwrap();
     let error = stream.next(deadline()).await.unwrap_err();
     assert!(matches!(error, SendError::Protocol { .. }), "{error:?}");
     assert_eq!(error.outcome(), Outcome::Unknown);
     drop(stream);
-    server.called(CANCEL).await;
+    server.wait_called(CANCEL_CALL).await;
 }
 
 #[compio::test]
-async fn stream_without_its_last_token_is_broken() {
-    let server = engine(|| Reply::finished(&[token(0)])).await;
+async fn stream_without_a_last_token_is_an_error() {
+    let server = engine(|| Reply::complete_stream(&[token(0)])).await;
     let mut stream = start(&connections(), &server).await.unwrap();
     stream.next(deadline()).await.unwrap();
     let error = stream.next(deadline()).await.unwrap_err();
@@ -122,8 +127,8 @@
 }
 
 #[compio::test]
-async fn resumed_stream_begins_at_its_offset() {
-    let server = engine(|| Reply::finished(&[token(3), token(4), last(5)])).await;
+async fn resumed_stream_starts_at_its_offset() {
+    let server = engine(|| Reply::complete_stream(&[token(3), token(4), last_token(5)])).await;
     let connections = connections();
     let mut stream = resume(&connections, &server.target, "s", attempt(4), deadline())
         .await
@@ -135,24 +140,24 @@
 
 #[compio::test]
 async fn dropped_stream_cancels_its_attempt() {
-    let server = engine(|| Reply::unfinished(&[token(0)])).await;
+    let server = engine(|| Reply::open_stream(&[token(0)])).await;
     let mut stream = start(&connections(), &server).await.unwrap();
     stream.next(deadline()).await.unwrap();
     drop(stream);
-    server.called(CANCEL).await;
-    server.closed(1).await;
+    server.wait_called(CANCEL_CALL).await;
+    server.wait_closed(1).await;
 }
 
 #[compio::test]
-async fn start_without_an_answer_cancels() {
-    let server = engine(Reply::none).await;
+async fn start_without_a_response_cancels_the_attempt() {
+    let server = engine(Reply::nothing).await;
     let error = start(&connections(), &server).await.unwrap_err();
     assert_eq!(error.outcome(), Outcome::Unknown);
-    server.called(CANCEL).await;
+    server.wait_called(CANCEL_CALL).await;
 }
 
 #[compio::test]
-async fn refusal_that_did_not_run_cancels_nothing() {
+async fn attempt_refused_before_it_ran_is_not_cancelled() {
     let server = engine(|| {
         let refusal = ErrorBody::new("engine_full", Outcome::NotRun, "queue", "full");
         let body = serde_json::to_string(&refusal).expect("JSON");
@@ -163,6 +168,6 @@
     let error = start(&connections, &server).await.unwrap_err();
     assert!(matches!(error, SendError::Refused { .. }), "{error:?}");
     assert_eq!(error.outcome(), Outcome::NotRun);
-    calls_after(&connections, &server).await;
-    assert_eq!(server.calls(), start_and_calls_after());
+    send_later_calls(&connections, &server).await;
+    assert_eq!(server.calls(), start_and_later_calls());
 }
--- a/crates/upstream/tests/support/mod.rs
+++ b/crates/upstream/tests/support/mod.rs
@@ -1,9 +1,6 @@
-//! A server that follows a script, and says what reached it.
+//! Scripted server that records the calls it receives.
 
-#![allow(
-    dead_code,
-    reason = "each test binary uses its own part of these helpers"
-)]
+#![allow(dead_code, reason = "each test binary uses only some of these helpers")]
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -18,19 +15,19 @@
 use http_body_util::Full;
 use mangofront_upstream::{Connections, ConnectionsOptions, Target};
 
-/// Generous: a test fails after it, and goes on as soon as it can.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Generous limit: a test that takes longer fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the server does about one request.
+/// Reaction of the server to one request.
 pub struct Reply {
-    /// Written as it is.
+    /// Bytes to write, unchanged.
     pub raw: String,
-    pub then: Then,
+    pub then: AfterReply,
 }
 
 /// What the server does after a reply.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Then {
+pub enum AfterReply {
     /// Reads the next request.
     Read,
     /// Closes the connection.
@@ -38,7 +35,7 @@
 }
 
 impl Reply {
-    pub fn whole(body: &str) -> Self {
+    pub fn ok(body: &str) -> Self {
         Self::status("200 OK", body)
     }
 
@@ -46,12 +43,12 @@
         let length = body.len();
         Self {
             raw: format!("HTTP/1.1 {status}\r\ncontent-length: {length}\r\n\r\n{body}"),
-            then: Then::Read,
+            then: AfterReply::Read,
         }
     }
 
-    /// Event stream that goes on after `events`.
-    pub fn unfinished(events: &[String]) -> Self {
+    /// Event stream that stays open after `events`.
+    pub fn open_stream(events: &[String]) -> Self {
         let mut raw = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n".to_owned();
         for event in events {
             let chunk = format!("data: {event}\n\n");
@@ -59,35 +56,35 @@
         }
         Self {
             raw,
-            then: Then::Read,
+            then: AfterReply::Read,
         }
     }
 
     /// Event stream that ends after `events`.
-    pub fn finished(events: &[String]) -> Self {
-        let mut reply = Self::unfinished(events);
+    pub fn complete_stream(events: &[String]) -> Self {
+        let mut reply = Self::open_stream(events);
         reply.raw += "0\r\n\r\n";
         reply
     }
 
-    /// No byte; the connection closes.
-    pub fn none() -> Self {
+    /// Closes the connection without writing a byte.
+    pub fn nothing() -> Self {
         Self {
             raw: String::new(),
-            then: Then::Close,
+            then: AfterReply::Close,
         }
     }
 
     pub fn and_close(mut self) -> Self {
-        self.then = Then::Close;
+        self.then = AfterReply::Close;
         self
     }
 }
 
-/// A request as it arrived.
+/// A call that the server received.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
-    /// Number of the connection, from 0.
+pub struct ReceivedCall {
+    /// Number of the connection, starting at 0.
     pub connection: usize,
     /// Method and path.
     pub call: String,
@@ -97,18 +94,19 @@
 #[derive(Clone)]
 pub struct Server {
     pub target: Target,
-    seen: Rc<RefCell<Vec<Seen>>>,
-    closed: Rc<Cell<usize>>,
+    received: Rc<RefCell<Vec<ReceivedCall>>>,
+    closed_connections: Rc<Cell<usize>>,
 }
 
 impl Server {
-    /// Replies to each call, `METHOD path`, as `script` says.
+    /// Starts a server that replies to each call (`METHOD path`) with the result of
+    /// `script`.
     pub async fn start(script: impl Fn(&str) -> Reply + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
         let server = Self {
             target: target(listener.local_addr().expect("bound")),
-            seen: Rc::default(),
-            closed: Rc::default(),
+            received: Rc::default(),
+            closed_connections: Rc::default(),
         };
         let accepting = server.clone();
         let script = Rc::new(script);
@@ -132,68 +130,84 @@
         script: Rc<impl Fn(&str) -> Reply>,
     ) {
         while let Some(call) = read_call(&mut stream).await {
-            self.seen.borrow_mut().push(Seen {
+            self.received.borrow_mut().push(ReceivedCall {
                 connection,
                 call: call.clone(),
             });
             let reply = script(&call);
-            if stream.write_all(reply.raw).await.is_err() || reply.then == Then::Close {
+            if stream.write_all(reply.raw).await.is_err() || reply.then == AfterReply::Close {
                 break;
             }
         }
-        self.closed.set(self.closed.get() + 1);
+        self.closed_connections
+            .set(self.closed_connections.get() + 1);
     }
 
-    /// Requests so far.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.borrow().clone()
+    /// Calls received so far.
+    pub fn received(&self) -> Vec<ReceivedCall> {
+        self.received.borrow().clone()
     }
 
-    /// Calls so far, without their connections.
+    /// Method and path of each call received so far.
     pub fn calls(&self) -> Vec<String> {
-        self.seen().into_iter().map(|seen| seen.call).collect()
+        self.received()
+            .into_iter()
+            .map(|received| received.call)
+            .collect()
     }
 
-    /// Connection of each call so far.
-    pub fn connections(&self) -> Vec<usize> {
-        self.seen().iter().map(|seen| seen.connection).collect()
+    /// Connection number of each call received so far.
+    pub fn connection_numbers(&self) -> Vec<usize> {
+        self.received()
+            .iter()
+            .map(|received| received.connection)
+            .collect()
     }
 
-    /// Waits until `count` connections have ended.
-    pub async fn closed(&self, count: usize) {
-        wait_for(|| self.closed.get() >= count).await;
+    /// Waits until `count` connections are closed.
+    pub async fn wait_closed(&self, count: usize) {
+        wait_for(|| self.closed_connections.get() >= count).await;
     }
 
-    /// Waits until `call` arrived.
-    pub async fn called(&self, call: &str) {
-        wait_for(|| self.seen.borrow().iter().any(|seen| seen.call == call)).await;
+    /// Waits until `call` was received.
+    pub async fn wait_called(&self, call: &str) {
+        wait_for(|| {
+            self.received
+                .borrow()
+                .iter()
+                .any(|received| received.call == call)
+        })
+        .await;
     }
 }
 
 async fn wait_for(condition: impl Fn() -> bool) {
     let deadline = deadline();
     while !condition() {
-        assert!(Instant::now() < deadline, "not so in time");
+        assert!(
+            Instant::now() < deadline,
+            "condition not met within the test timeout"
+        );
         compio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// Reads one request whole; `None` when the connection ends.
+/// Reads one complete request; `None` once the connection is closed.
 async fn read_call(stream: &mut TcpStream) -> Option<String> {
-    let mut all = Vec::new();
+    let mut bytes = Vec::new();
     loop {
-        if let Some(call) = whole_call(&all) {
+        if let Some(call) = parse_call(&bytes) {
             return Some(call);
         }
-        let BufResult(read, part) = stream.read(Vec::with_capacity(4096)).await;
+        let BufResult(read, chunk) = stream.read(Vec::with_capacity(4096)).await;
         match read {
             Ok(0) | Err(_) => return None,
-            Ok(_) => all.extend(part),
+            Ok(_) => bytes.extend(chunk),
         }
     }
 }
 
-fn whole_call(bytes: &[u8]) -> Option<String> {
+fn parse_call(bytes: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(bytes).ok()?;
     let (head, body) = text.split_once("\r\n\r\n")?;
     let length = head
@@ -213,13 +227,13 @@
 
 pub fn connections() -> Connections {
     Connections::new(ConnectionsOptions {
-        idle_timeout: PATIENCE,
+        idle_timeout: TEST_TIMEOUT,
         ..ConnectionsOptions::default()
     })
 }
 
 pub fn deadline() -> Instant {
-    Instant::now() + PATIENCE
+    Instant::now() + TEST_TIMEOUT
 }
 
 pub fn get(path: &str) -> Request<Full<Bytes>> {
