--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! Who sends a request, for which class of work, and until when.
+//! Caller of a request: organisation, class and deadline.
 
 use std::time::{Duration, Instant};
 
@@ -9,18 +9,18 @@
 
 use crate::error::EntryError;
 
-/// Caller of one request and the time it has.
+/// Caller of one request, and the request's time limits.
 #[derive(Debug, Clone)]
 pub(crate) struct Caller {
-    /// Organisation that pays for the request.
+    /// Organisation to which the request is charged.
     pub(crate) organisation: OrganisationId,
-    /// Class of work.
+    /// Class of the request.
     pub(crate) class: ClassName,
     /// Time within which the answer should start.
     pub(crate) time_to_first_token: Duration,
-    /// When the request's head arrived.
+    /// Time at which the request's head arrived.
     pub(crate) arrived: Instant,
-    /// When the request must have finished or failed.
+    /// Time by which the request must have finished or failed.
     pub(crate) deadline: Instant,
 }
 
@@ -70,7 +70,7 @@
 /// Value of a header as text.
 ///
 /// # Errors
-/// [`EntryError::BadHeader`] when it holds other bytes than visible ASCII.
+/// [`EntryError::BadHeader`] when it contains bytes other than visible ASCII.
 pub(crate) fn text<'a>(
     request_headers: &'a HeaderMap,
     name: &'static str,
--- a/crates/entry/src/completion/answer.rs
+++ b/crates/entry/src/completion/answer.rs
@@ -1,4 +1,4 @@
-//! The OpenAI-style shapes of an answer.
+//! OpenAI-compatible format of answers.
 
 use std::borrow::Cow;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -13,7 +13,7 @@
 use super::attempts::Attempts;
 use crate::error::EntryError;
 
-/// A whole answer, or one chunk of a streamed one.
+/// A complete answer, or one chunk of a streamed one.
 #[derive(Debug, Serialize)]
 pub(crate) struct Completion<'a> {
     id: &'a str,
@@ -74,8 +74,8 @@
     }
 }
 
-/// One event of a streamed answer.
-pub(crate) fn chunk(request: &CompletionRequest, frame: &Frame) -> Bytes {
+/// Event with one token of a streamed answer.
+pub(crate) fn chunk_event(request: &CompletionRequest, frame: &Frame) -> Bytes {
     let (object, content) = match request.endpoint {
         Endpoint::Completions => ("text_completion", Content::Text(Cow::Borrowed(&frame.text))),
         Endpoint::ChatCompletions => {
@@ -96,8 +96,8 @@
     ))
 }
 
-/// Last event of a whole streamed answer.
-pub(crate) fn done() -> Bytes {
+/// Last event of a complete streamed answer.
+pub(crate) fn done_event() -> Bytes {
     Bytes::from_static(b"data: [DONE]\n\n")
 }
 
@@ -106,10 +106,10 @@
     event(body)
 }
 
-/// Reads an answer whole.
+/// Reads an answer to its end.
 ///
 /// # Errors
-/// The attempts came to no whole answer.
+/// The attempts yielded no complete answer.
 pub(crate) async fn collect(
     request: &CompletionRequest,
     mut attempts: Attempts,
@@ -172,8 +172,8 @@
 
 fn event(value: &impl Serialize) -> Bytes {
     let mut event = b"data: ".to_vec();
-    // The types written here have no map and no fallible part, so this can't
-    // fail; were it to, the event would be cut short and rejected as JSON.
+    // Serialisation can't fail, as the types have no maps and no fallible parts. If
+    // it did, the event would be truncated and rejected as malformed JSON.
     let _ = serde_json::to_writer(&mut event, value);
     event.extend_from_slice(b"\n\n");
     Bytes::from(event)
--- a/crates/entry/src/completion/attempts.rs
+++ b/crates/entry/src/completion/attempts.rs
@@ -1,9 +1,9 @@
-//! The attempts at one request, seen as one run of tokens.
+//! Attempts at one request, combined into one sequence of tokens.
 //!
-//! Invariants: at most one attempt is open; `next_offset` is the only token
-//! that the caller is given next, whatever attempt it comes from; nothing
-//! happens after the caller's deadline. An attempt that fails is followed by
-//! another one from the same offset, within the retry budget.
+//! Invariants: at most one attempt is running; the next token returned is always the
+//! one at `next_offset`, whichever attempt it comes from; nothing is started after
+//! the caller's deadline. A failed attempt is followed by another one from the same
+//! offset, within the retry budget.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,21 +18,22 @@
 use super::{CompletionRequest, checks, group};
 use crate::context::Entry;
 use crate::error::EntryError;
-use crate::progress::InProgress;
+use crate::progress::RequestProgress;
 
-/// Longest silence before the first token until the engine is probed.
-const FIRST_TOKEN_PATIENCE: Duration = Duration::from_secs(2);
+/// Maximum wait for the first token before the stream is resumed to probe the
+/// engine; also the time limit for the engine to queue the attempt.
+const FIRST_TOKEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest silence between two tokens until the engine is probed.
-const TOKEN_PATIENCE: Duration = Duration::from_secs(1);
+/// Maximum wait between two tokens before the stream is resumed to probe the engine.
+const TOKEN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for an engine to take a stream up again.
-const RESUME_PATIENCE: Duration = Duration::from_secs(1);
+/// Time limit for an engine to resume a stream.
+const RESUME_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time after which a caller may come back when its attempts failed.
+/// Time after which a caller may retry when its attempts failed.
 const RETRY_AFTER_FAILURE: Duration = Duration::from_secs(1);
 
-/// Time after which a caller may come back when no engine takes work.
+/// Time after which a caller may retry when no engine is available.
 const RETRY_AFTER_NO_ENGINE: Duration = Duration::from_secs(2);
 
 /// The attempts at one request.
@@ -40,36 +41,36 @@
 pub(crate) struct Attempts {
     entry: Entry,
     request: Rc<CompletionRequest>,
-    progress: Rc<InProgress>,
+    progress: Rc<RequestProgress>,
     permit: Permit,
     retries: Retries,
-    /// Attempts made; the number of the last one.
-    made: u32,
+    /// Number of attempts so far, which is the number of the last one.
+    attempt_count: u32,
     next_offset: u32,
-    running: Option<Running>,
+    running: Option<RunningAttempt>,
     finished: bool,
 }
 
-/// The attempt that is open.
+/// The running attempt.
 #[derive(Debug)]
-struct Running {
+struct RunningAttempt {
     placed: PlacedRequest,
-    /// Held until the attempt is over.
+    /// Keeps the memory of the group reserved until the attempt has ended.
     _reservation: Option<GroupReservation>,
     stream: EngineStream,
     call: GenerateCall,
     target: Target,
-    first_token_seen: bool,
-    /// Tokens of this attempt seen so far.
+    first_token_received: bool,
+    /// Number of tokens received from this attempt.
     generated_tokens: u32,
 }
 
 impl Attempts {
-    /// No attempt made yet.
+    /// Creates the state of an admitted request, before its first attempt.
     pub(crate) fn new(
         entry: Entry,
         request: Rc<CompletionRequest>,
-        progress: Rc<InProgress>,
+        progress: Rc<RequestProgress>,
         permit: Permit,
     ) -> Self {
         Self {
@@ -78,14 +79,14 @@
             progress,
             permit,
             retries: Retries::new(),
-            made: 0,
+            attempt_count: 0,
             next_offset: 0,
             running: None,
             finished: false,
         }
     }
 
-    /// Whether the last token was given.
+    /// Whether the last token was returned.
     pub(crate) fn is_finished(&self) -> bool {
         self.finished
     }
@@ -93,11 +94,12 @@
     /// Next token of the answer.
     ///
     /// # Errors
-    /// The class's time is over, or no further attempt is allowed.
+    /// The deadline of the request's class has passed, or no further attempt is
+    /// allowed.
     pub(crate) async fn next(&mut self) -> Result<Frame, EntryError> {
         let next = self.advance().await;
         if let Err(error) = &next {
-            checks::not_run_is_true(&self.request, error, self.retries.may_have_run);
+            checks::check_not_run(&self.request, error, self.retries.may_have_run);
         }
         next
     }
@@ -107,70 +109,70 @@
             self.check_deadline()?;
             let mut running = match self.running.take() {
                 Some(running) => running,
-                None => match self.begin().await? {
+                None => match self.place_and_start().await? {
                     Some(running) => running,
                     None => continue,
                 },
             };
-            match running.stream.next(self.patience(&running)).await {
+            match running.stream.next(self.token_deadline(&running)).await {
                 Ok(frame) => {
-                    self.accept(&mut running, &frame);
+                    self.handle_frame(&mut running, &frame);
                     if !self.finished {
                         self.running = Some(running);
                     }
                     return Ok(frame);
                 }
-                Err(error) => self.recover(running, error).await?,
+                Err(error) => self.resume_or_retry(running, error).await?,
             }
         }
     }
 
-    /// Starts an attempt; `None` when it failed and another may be made.
-    async fn begin(&mut self) -> Result<Option<Running>, EntryError> {
+    /// Places and starts an attempt; `None` if it failed and may be retried.
+    async fn place_and_start(&mut self) -> Result<Option<RunningAttempt>, EntryError> {
         let parts = self.entry.parts();
         parts.platform.refreshed().await;
         let demand = &self.request.demand;
         let Ok(placed) = parts.placement.place(demand, self.retries.excluded()) else {
-            // With few engines all of them may have failed once.
-            if !self.retries.forgive() {
-                return Err(self.no_engine());
+            // With few engines, all of them may be excluded.
+            if !self.retries.readmit_engines() {
+                return Err(self.no_engine_error());
             }
-            self.retries.pause().await;
+            self.retries.back_off().await;
             return Ok(None);
         };
-        self.made += 1;
+        self.attempt_count += 1;
         match self.start(placed).await {
             Ok(running) => return Ok(Some(running)),
-            Err(error) if group::is_full(&error) => self.wait_for_group().await?,
-            Err(error) => self.give_up_or_retry(error).await?,
+            Err(error) if group::is_out_of_memory(&error) => self.wait_for_group().await?,
+            Err(error) => self.retry_or_fail(error).await?,
         }
         Ok(None)
     }
 
-    async fn start(&mut self, placed: PlacedRequest) -> Result<Running, SendError> {
-        checks::not_leaving(&self.entry, &placed.instance);
+    async fn start(&mut self, placed: PlacedRequest) -> Result<RunningAttempt, SendError> {
+        checks::check_instance_live(&self.entry, &placed.instance);
         let reservation = self.prepare_group(&placed).await?;
-        let call = self.call(&placed, reservation.as_ref());
+        let call = self.generate_call(&placed, reservation.as_ref());
         let target = Target {
             instance: placed.instance.clone(),
             address: placed.address,
         };
         let connections = &self.entry.parts().connections;
-        let queued_by = self.deadline_within(FIRST_TOKEN_PATIENCE);
-        let stream = engine::generate(connections, &target, call.clone(), queued_by).await?;
+        let queue_deadline = self.deadline_after(FIRST_TOKEN_TIMEOUT);
+        let stream = engine::generate(connections, &target, call.clone(), queue_deadline).await?;
         self.retries.may_have_run = true;
-        Ok(Running {
+        Ok(RunningAttempt {
             placed,
             _reservation: reservation,
             stream,
             call,
             target,
-            first_token_seen: false,
+            first_token_received: false,
             generated_tokens: 0,
         })
     }
 
-    /// Memory and prefill on a group, when the prompt needs one.
+    /// Reserves memory and computes the prefill on a group, if the prompt needs one.
     async fn prepare_group(
         &mut self,
         placed: &PlacedRequest,
@@ -178,10 +180,10 @@
         let Some(members) = &placed.group else {
             return Ok(None);
         };
-        let group = group::Preparation {
+        let group = group::GroupPrefill {
             entry: &self.entry,
             request: &self.request,
-            attempt: self.made,
+            attempt: self.attempt_count,
             members,
             priority: placed.priority,
         };
@@ -191,12 +193,16 @@
         Ok(Some(reservation))
     }
 
-    fn call(&self, placed: &PlacedRequest, reservation: Option<&GroupReservation>) -> GenerateCall {
+    fn generate_call(
+        &self,
+        placed: &PlacedRequest,
+        reservation: Option<&GroupReservation>,
+    ) -> GenerateCall {
         GenerateCall {
             endpoint: self.request.endpoint,
             body: self.request.body.content.clone(),
             request: self.request.id.clone(),
-            attempt: self.made,
+            attempt: self.attempt_count,
             priority: placed.priority,
             resume_offset: self.next_offset,
             reservation: reservation.map(|reservation| reservation.id().to_owned()),
@@ -204,21 +210,21 @@
         }
     }
 
-    fn accept(&mut self, running: &mut Running, frame: &Frame) {
-        checks::own_token(&self.request, frame, self.next_offset);
+    fn handle_frame(&mut self, running: &mut RunningAttempt, frame: &Frame) {
+        checks::check_next_token(&self.request, frame, self.next_offset);
         self.next_offset = frame.offset + 1;
-        if running.first_token_seen {
+        if running.first_token_received {
             running.generated_tokens += 1;
             running
                 .placed
                 .record_generated_tokens(running.generated_tokens);
         } else {
-            running.first_token_seen = true;
+            running.first_token_received = true;
             running.generated_tokens = 1;
             running.placed.record_first_token();
         }
         if frame.offset == 0 {
-            self.observe_first_token();
+            self.record_first_token_latency();
         }
         if frame.finish_reason.is_some() {
             self.finished = true;
@@ -227,20 +233,23 @@
         }
     }
 
-    fn observe_first_token(&mut self) {
+    fn record_first_token_latency(&mut self) {
         let time = self.request.caller.arrived.elapsed();
         self.permit.record_first_token(time);
         let length_tokens = self.request.prompt.length_tokens;
         self.progress.first_token(length_tokens, time);
     }
 
-    /// Takes a broken or silent stream up at its engine, or leaves it for a new
-    /// attempt.
+    /// Resumes an interrupted or silent stream at its engine, or makes a new attempt.
     ///
-    /// A silent engine may just be slow, above all before the first token of a
-    /// long prompt. Taking the stream up on another connection tells it from
-    /// one that is gone or frozen, and costs no work that was done.
-    async fn recover(&mut self, mut running: Running, error: SendError) -> Result<(), EntryError> {
+    /// An engine without output may just be slow, especially before the first token
+    /// of a long prompt. Resuming the stream on another connection distinguishes it
+    /// from an engine that has crashed or hangs, and loses no computed tokens.
+    async fn resume_or_retry(
+        &mut self,
+        mut running: RunningAttempt,
+        error: SendError,
+    ) -> Result<(), EntryError> {
         let resumable = matches!(
             error,
             SendError::ConnectionFailed { .. } | SendError::Timeout { .. }
@@ -248,14 +257,22 @@
         let stream_id = running.stream.stream_id().map(str::to_owned);
         let Some(stream_id) = stream_id.filter(|_| resumable) else {
             drop(running);
-            return self.give_up_or_retry(error).await;
+            return self.retry_or_fail(error).await;
         };
         self.check_deadline()?;
         running.call.resume_offset = self.next_offset;
-        let until = self.deadline_within(RESUME_PATIENCE);
+        let resume_deadline = self.deadline_after(RESUME_TIMEOUT);
         let connections = &self.entry.parts().connections;
         let call = running.call.clone();
-        match engine::resume(connections, &running.target, &stream_id, call, until).await {
+        match engine::resume(
+            connections,
+            &running.target,
+            &stream_id,
+            call,
+            resume_deadline,
+        )
+        .await
+        {
             Ok(stream) => {
                 std::mem::replace(&mut running.stream, stream).detach();
                 self.running = Some(running);
@@ -263,42 +280,43 @@
             }
             Err(error) => {
                 drop(running);
-                self.give_up_or_retry(error).await
+                self.retry_or_fail(error).await
             }
         }
     }
 
-    /// Waits a little for memory that other groups hold; holds none itself.
+    /// Waits for memory that is reserved by other groups, without reserving any.
     async fn wait_for_group(&mut self) -> Result<(), EntryError> {
         self.entry.parts().metrics.retried();
-        self.retries.pause_for_group().await;
+        self.retries.back_off_for_group().await;
         self.check_deadline()
     }
 
-    /// Notes a failed attempt; an error when no other may be made.
-    async fn give_up_or_retry(&mut self, error: SendError) -> Result<(), EntryError> {
-        let (number, request) = (self.made, &self.request.id);
+    /// Records a failed attempt and waits for the next one; an error if no further
+    /// attempt is allowed.
+    async fn retry_or_fail(&mut self, error: SendError) -> Result<(), EntryError> {
+        let (number, request) = (self.attempt_count, &self.request.id);
         log::debug!("entry: attempt {number} of {request} failed: {error}");
-        self.retries.note(&error);
+        self.retries.record_failure(&error);
         self.check_deadline()?;
         let parts = self.entry.parts();
         let outcome = engine_outcome(&error);
         parts.placement.record_outcome(error.peer(), outcome);
         parts.metrics.upstream_error(error.step_name());
         let has_begun = self.next_offset > 0;
-        if !self.retries.allowed(outcome, has_begun, &parts.admission) {
+        if !self.retries.may_retry(outcome, has_begun, &parts.admission) {
             return Err(EntryError::AttemptsFailed {
-                attempts: self.made,
-                last: self.retries.settle(error),
+                attempts: self.attempt_count,
+                last: self.retries.final_error(error),
                 retry_after: RETRY_AFTER_FAILURE,
             });
         }
         parts.metrics.retried();
-        self.retries.pause().await;
+        self.retries.back_off().await;
         Ok(())
     }
 
-    fn no_engine(&self) -> EntryError {
+    fn no_engine_error(&self) -> EntryError {
         EntryError::NoUpstream {
             kind: "engine",
             outcome: self.retries.outcome(),
@@ -314,18 +332,19 @@
         Err(EntryError::DeadlineExceeded { outcome })
     }
 
-    /// The end of `time` from now, within the class's time.
-    fn deadline_within(&self, time: Duration) -> Instant {
+    /// `time` from now, but no later than the request's deadline.
+    fn deadline_after(&self, time: Duration) -> Instant {
         self.request.caller.deadline.min(Instant::now() + time)
     }
 
-    /// Until when the open attempt may stay silent before its engine is probed.
-    fn patience(&self, running: &Running) -> Instant {
-        let patience = if running.first_token_seen {
-            TOKEN_PATIENCE
+    /// Time by which the running attempt must yield a token before its engine is
+    /// probed.
+    fn token_deadline(&self, running: &RunningAttempt) -> Instant {
+        let token_timeout = if running.first_token_received {
+            TOKEN_TIMEOUT
         } else {
-            FIRST_TOKEN_PATIENCE
+            FIRST_TOKEN_TIMEOUT
         };
-        self.deadline_within(patience)
+        self.deadline_after(token_timeout)
     }
 }
--- a/crates/entry/src/completion/checks.rs
+++ b/crates/entry/src/completion/checks.rs
@@ -1,4 +1,4 @@
-//! Invariants of a request on its way, checked always.
+//! Invariants of requests, checked in all builds.
 
 use std::time::Duration;
 
@@ -11,11 +11,12 @@
 use crate::context::Entry;
 use crate::error::EntryError;
 
-/// Time within which a leaving instance may still get new work.
+/// Time after a new list of instances was received within which requests may still
+/// be sent to an instance that is draining or no longer listed.
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
-/// Checks that work is not sent to an instance that is known to leave.
-pub(crate) fn not_leaving(entry: &Entry, instance: &str) {
+/// Checks that no request is sent to an instance that is known to be draining.
+pub(crate) fn check_instance_live(entry: &Entry, instance: &str) {
     let Some(accepted) = entry.parts().platform.instances() else {
         return;
     };
@@ -23,29 +24,32 @@
         return;
     }
     let mut listed = accepted.list.instances.iter();
-    let stays =
+    let is_live =
         listed.any(|known| known.instance == instance && known.state == InstanceState::Live);
-    check(Invariant::LeavingGetsNoWork, stays, || {
+    check(Invariant::LeavingGetsNoWork, is_live, || {
         format!(
-            "{instance} gets work though list {} lacks it",
+            "request sent to {instance}, which is not live in list {}",
             accepted.revision
         )
     });
 }
 
-/// Checks that a token belongs to the request and is the one expected next.
-pub(crate) fn own_token(request: &CompletionRequest, frame: &Frame, next_offset: u32) {
-    let own = frame.request == request.id && frame.offset == next_offset;
-    check(Invariant::OwnAnswerOnly, own, || {
-        let (other, offset) = (&frame.request, frame.offset);
-        format!("token {offset} of {other} came for {}", request.id)
+/// Checks that a token belongs to the request and is the next one.
+pub(crate) fn check_next_token(request: &CompletionRequest, frame: &Frame, next_offset: u32) {
+    let is_expected = frame.request == request.id && frame.offset == next_offset;
+    check(Invariant::OwnAnswerOnly, is_expected, || {
+        let (actual, offset) = (&frame.request, frame.offset);
+        format!("{} received token {offset} of request {actual}", request.id)
     });
 }
 
-/// Checks that *not run* is told only where no attempt may have run.
-pub(crate) fn not_run_is_true(request: &CompletionRequest, error: &EntryError, may_have_run: bool) {
-    let holds = !may_have_run || error.outcome() != Outcome::NotRun;
-    check(Invariant::NotRunTrue, holds, || {
-        format!("{} was to be told not run: {error}", request.id)
+/// Checks that a request is reported as *not run* only if no attempt may have run.
+pub(crate) fn check_not_run(request: &CompletionRequest, error: &EntryError, may_have_run: bool) {
+    let is_consistent = !may_have_run || error.outcome() != Outcome::NotRun;
+    check(Invariant::NotRunTrue, is_consistent, || {
+        format!(
+            "{} may have run but was to be reported as not run: {error}",
+            request.id
+        )
     });
 }
--- a/crates/entry/src/completion/group.rs
+++ b/crates/entry/src/completion/group.rs
@@ -1,9 +1,9 @@
-//! Prompts larger than one engine's memory.
+//! Prefill of prompts that exceed one engine's memory.
 //!
-//! The placement names the engines and their shares; here the memory is
-//! reserved on all of them or none, and each computes its share of the
-//! prefill. The first member then generates the answer under the same
-//! reservation. Nothing is held while waiting for a group that is not free.
+//! The placement selects the engines and their shares. Here the memory is reserved
+//! on all of them or on none, and each computes its share of the prefill. The first
+//! member then generates the answer under the same reservation. No memory is
+//! reserved while a request waits for a group with free memory.
 
 use std::pin::pin;
 use std::time::{Duration, Instant};
@@ -19,42 +19,50 @@
 use super::CompletionRequest;
 use crate::context::Entry;
 
-/// Time after which an engine frees a reservation that nobody renews.
+/// Time after which an engine frees a reservation that is not renewed.
 const LEASE: Duration = Duration::from_secs(3);
 
-/// Longest time for all members of a group to grant their shares.
+/// Time limit for reserving memory on all members of a group.
 const RESERVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Memory that the first member needs beside its share, in tokens: the last token of the prompt is computed with the answer.
+/// Memory that the first member needs in addition to its share, in tokens: the last
+/// token of the prompt is computed together with the answer.
 const LEADER_EXTRA_TOKENS: u64 = 1;
 
-/// What a group does for one attempt.
+/// Reservation and prefill of a group for one attempt.
 #[derive(Debug)]
-pub(crate) struct Preparation<'a> {
+pub(crate) struct GroupPrefill<'a> {
     pub(crate) entry: &'a Entry,
     pub(crate) request: &'a CompletionRequest,
-    /// Number of the attempt; no two reservations may share one.
+    /// Number of the attempt, which makes the reservation's id unique.
     pub(crate) attempt: u32,
     pub(crate) members: &'a [GroupMember],
     pub(crate) priority: u8,
 }
 
-impl Preparation<'_> {
-    /// Reserves each member's share, or none; nothing is computed.
+impl GroupPrefill<'_> {
+    /// Reserves the shares of all members, or none; computes nothing.
     ///
     /// # Errors
     /// [`SendError`] of the member that refused or failed.
     pub(crate) async fn reserve(&self) -> Result<GroupReservation, SendError> {
         let connections = &self.entry.parts().connections;
         let deadline = self.request.caller.deadline;
-        let until = deadline.min(Instant::now() + RESERVE_TIMEOUT);
-        reserve(connections, &self.id(), &shares(self.members), LEASE, until).await
+        let reserve_deadline = deadline.min(Instant::now() + RESERVE_TIMEOUT);
+        reserve(
+            connections,
+            &self.reservation_id(),
+            &shares(self.members),
+            LEASE,
+            reserve_deadline,
+        )
+        .await
     }
 
-    /// Computes the prompt on the members, while their leases hold.
+    /// Computes the prompt on the members, as long as their leases are valid.
     ///
     /// # Errors
-    /// [`SendError`] of the member that failed or stopped to answer.
+    /// [`SendError`] of the member that failed or whose lease was lost.
     pub(crate) async fn compute(
         &self,
         reservation: &mut GroupReservation,
@@ -65,7 +73,7 @@
         let mut offset_tokens = 0;
         let segments = self.members.iter().enumerate().map(|(index, member)| {
             let segment = Segment {
-                reservation: self.id(),
+                reservation: self.reservation_id(),
                 request: self.request.id.clone(),
                 attempt: self.attempt,
                 tokens: prompt_tokens(index, member, max_tokens),
@@ -81,13 +89,13 @@
         }
     }
 
-    fn id(&self) -> String {
+    fn reservation_id(&self) -> String {
         format!("{}-{}", self.request.id, self.attempt)
     }
 }
 
-/// Whether `error` says that a group's memory is in use now.
-pub(crate) fn is_full(error: &SendError) -> bool {
+/// Whether `error` says that a member has no free memory.
+pub(crate) fn is_out_of_memory(error: &SendError) -> bool {
     match error {
         SendError::Refused { detail, .. } => {
             detail.outcome == Outcome::NotRun && detail.code == "no_memory"
@@ -96,8 +104,8 @@
     }
 }
 
-/// Tokens of the prompt that a member computes; the first one's share holds the
-/// answer too.
+/// Number of prompt tokens that a member computes; the first member's share also
+/// includes the answer.
 fn prompt_tokens(index: usize, member: &GroupMember, max_tokens: u32) -> u64 {
     let answer_tokens = if index == 0 { u64::from(max_tokens) } else { 0 };
     member.tokens.saturating_sub(answer_tokens).max(1)
--- a/crates/entry/src/completion/mod.rs
+++ b/crates/entry/src/completion/mod.rs
@@ -1,9 +1,10 @@
-//! Requests for a model's answer.
+//! Completion requests.
 //!
-//! Until the first token the caller's own task drives the request, so that a
-//! caller who goes away takes its place in the queue and its attempt along.
-//! After it a streamed answer is relayed by a task of its own: its time limit
-//! then holds also when the caller's connection takes no more bytes.
+//! Until the first token the request runs in the task of the caller's connection,
+//! so that it leaves the queue and its attempt is cancelled if the caller
+//! disconnects. After the first token a separate task relays a streamed answer, so
+//! that the time limit applies even if the caller's connection accepts no more
+//! bytes.
 
 mod answer;
 mod attempts;
@@ -22,55 +23,55 @@
 use mangofront_placement::PlacementRequest;
 use mangofront_prompt::{Endpoint, Prompt};
 
-use crate::bodies::{self, HeldBody};
+use crate::bodies::{self, BufferedBody};
 use crate::caller::{self, Caller};
 use crate::context::{Active, Entry};
 use crate::error::EntryError;
-use crate::progress::InProgress;
+use crate::progress::RequestProgress;
 use attempts::Attempts;
 
-/// A request that was read and checked.
+/// A request that was read and validated.
 #[derive(Debug)]
 pub(crate) struct CompletionRequest {
-    /// Id given by this daemon.
+    /// Id assigned by this daemon.
     pub(crate) id: String,
-    /// Endpoint it was sent to.
+    /// Endpoint to which it was sent.
     pub(crate) endpoint: Endpoint,
-    /// Body as it came.
-    pub(crate) body: HeldBody,
-    /// What was read of the body; its blocks moved into `demand`.
+    /// Body as received.
+    pub(crate) body: BufferedBody,
+    /// Parsed body; its blocks are moved into `demand`.
     pub(crate) prompt: Prompt,
-    /// Who sent it and until when.
+    /// Caller and time limits.
     pub(crate) caller: Caller,
-    /// What it asks of an engine.
+    /// Requirements for placement.
     pub(crate) demand: PlacementRequest,
 }
 
-/// Answers a request for a model's answer.
+/// Handles a completion request.
 ///
 /// # Errors
-/// Anything that keeps it from its first token, or from its whole answer when
-/// it is not streamed.
-pub(crate) async fn answer(
+/// Any failure before the first token, or before the end of an answer that is not
+/// streamed.
+pub(crate) async fn handle(
     entry: &Entry,
     active: &Rc<Active>,
     endpoint: Endpoint,
     head: &Parts,
     id: &str,
 ) -> Result<Response<Body>, EntryError> {
-    let request = Rc::new(read(active, endpoint, head, id).await?);
-    let progress = Rc::new(InProgress::begin(active, &request.caller));
-    let answered = respond(entry, &request, &progress).await;
-    if let Err(error) = &answered {
+    let request = Rc::new(read_request(active, endpoint, head, id).await?);
+    let progress = Rc::new(RequestProgress::begin(active, &request.caller));
+    let result = respond(entry, &request, &progress).await;
+    if let Err(error) = &result {
         progress.failed(error);
     }
-    answered
+    result
 }
 
 async fn respond(
     entry: &Entry,
     request: &Rc<CompletionRequest>,
-    progress: &Rc<InProgress>,
+    progress: &Rc<RequestProgress>,
 ) -> Result<Response<Body>, EntryError> {
     let mut attempts = admit(entry, request, progress).await?;
     let first = attempts.next().await?;
@@ -83,12 +84,12 @@
         };
         return Ok(relay.start(first));
     }
-    let whole = answer::collect(request, attempts, first).await?;
+    let completion = answer::collect(request, attempts, first).await?;
     progress.answered();
-    Ok(json(StatusCode::OK, &whole))
+    Ok(json(StatusCode::OK, &completion))
 }
 
-async fn read(
+async fn read_request(
     active: &Active,
     endpoint: Endpoint,
     head: &Parts,
@@ -136,10 +137,10 @@
 async fn admit(
     entry: &Entry,
     request: &Rc<CompletionRequest>,
-    progress: &Rc<InProgress>,
+    progress: &Rc<RequestProgress>,
 ) -> Result<Attempts, EntryError> {
     let parts = entry.parts();
-    let ask = AdmissionRequest {
+    let admission_request = AdmissionRequest {
         class: request.caller.class.clone(),
         organisation: request.caller.organisation.clone(),
         model: request.prompt.model.clone(),
@@ -148,7 +149,7 @@
         deadline: request.caller.deadline,
     };
     let estimate = || parts.placement.estimate(&request.demand).ok();
-    match parts.admission.admit(ask, estimate).await {
+    match parts.admission.admit(admission_request, estimate).await {
         Ok(permit) => Ok(Attempts::new(
             entry.clone(),
             Rc::clone(request),
--- a/crates/entry/src/completion/relay.rs
+++ b/crates/entry/src/completion/relay.rs
@@ -1,4 +1,4 @@
-//! Streamed answers.
+//! Relaying of streamed answers.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,31 +13,30 @@
 use super::attempts::Attempts;
 use super::{CompletionRequest, answer};
 use crate::context::Entry;
-use crate::progress::InProgress;
+use crate::progress::RequestProgress;
 
-/// Time for an event to be taken by the caller's buffer after the request's
-/// time is over.
+/// Time for the caller's buffer to accept an event after the request's deadline.
 const LAST_EVENT_GRACE: Duration = Duration::from_millis(50);
 
-/// Relays one answer from its attempts to its caller.
+/// Relays an answer from its attempts to the caller.
 #[derive(Debug)]
 pub(crate) struct Relay {
     pub(crate) entry: Entry,
     pub(crate) request: Rc<CompletionRequest>,
     pub(crate) attempts: Attempts,
-    pub(crate) progress: Rc<InProgress>,
+    pub(crate) progress: Rc<RequestProgress>,
 }
 
-/// Why a relay stopped before the answer's end.
-enum Stopped {
-    /// Caller's connection is gone.
+/// Why a relay stopped before the end of the answer.
+enum StopReason {
+    /// The caller disconnected.
     CallerGone,
-    /// Caller took no token for too long.
+    /// The caller accepted no token within the stall timeout or the deadline.
     CallerStalled,
 }
 
 impl Relay {
-    /// Response whose body the relay's own task fills.
+    /// Starts the relay's task and returns the response whose body it fills.
     pub(crate) fn start(self, first: Frame) -> Response<Body> {
         let (sender, receiver) = mpsc::channel(self.entry.parts().limits.stream_buffer_frames);
         compio::runtime::spawn(self.run(first, sender)).detach();
@@ -57,10 +56,10 @@
         let request = Rc::clone(&self.request);
         if let Err(stopped) = self.relay(first, &mut sender).await {
             let reason = match stopped {
-                Stopped::CallerGone => "caller_gone",
-                Stopped::CallerStalled => "caller_stalled",
+                StopReason::CallerGone => "caller_gone",
+                StopReason::CallerStalled => "caller_stalled",
             };
-            log::debug!("entry: answer to {} stopped: {reason}", request.id);
+            log::debug!("entry: stream of {} stopped: {reason}", request.id);
         }
     }
 
@@ -68,14 +67,14 @@
         &mut self,
         first: Frame,
         sender: &mut mpsc::Sender<Bytes>,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), StopReason> {
         let mut frame = first;
         loop {
-            self.send(sender, answer::chunk(&self.request, &frame))
+            self.send(sender, answer::chunk_event(&self.request, &frame))
                 .await?;
             if self.attempts.is_finished() {
                 self.progress.answered();
-                return self.send(sender, answer::done()).await;
+                return self.send(sender, answer::done_event()).await;
             }
             frame = match self.attempts.next().await {
                 Ok(frame) => frame,
@@ -88,16 +87,17 @@
         }
     }
 
-    async fn send(&self, sender: &mut mpsc::Sender<Bytes>, chunk: Bytes) -> Result<(), Stopped> {
+    async fn send(&self, sender: &mut mpsc::Sender<Bytes>, chunk: Bytes) -> Result<(), StopReason> {
         let stalled = Instant::now() + self.entry.parts().limits.stall_timeout;
-        // What came at the last moment, and the error that the time is over,
-        // still go out: a stream that just ends would look like a whole one.
+        // The grace lets tokens that arrive at the last moment and the error about
+        // the deadline still reach the caller: a stream that ended without them
+        // would look complete.
         let grace = Instant::now() + LAST_EVENT_GRACE;
         let deadline = stalled.min(self.request.caller.deadline.max(grace));
         match compio::time::timeout_at(deadline, sender.send(chunk)).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_closed)) => Err(Stopped::CallerGone),
-            Err(_elapsed) => Err(Stopped::CallerStalled),
+            Ok(Err(_closed)) => Err(StopReason::CallerGone),
+            Err(_elapsed) => Err(StopReason::CallerStalled),
         }
     }
 }
--- a/crates/entry/src/completion/retries.rs
+++ b/crates/entry/src/completion/retries.rs
@@ -1,6 +1,7 @@
-//! Whether a request may be tried again, where not, and what its failures say.
+//! Retry policy of a request: whether and where it may be retried, and the outcome
+//! of its failed attempts.
 //!
-//! Invariant: `may_have_run` never goes back to false; a request is told *not
+//! Invariant: `may_have_run` is never reset to false; a request is reported as *not
 //! run* only while it is false.
 
 use std::time::Duration;
@@ -11,95 +12,99 @@
 use mangofront_settings::ids::InstanceId;
 use mangofront_upstream::{SendError, Step};
 
-/// Most failed attempts at one request.
-const FAILURES_LIMIT: u32 = 5;
+/// Maximum number of failures of one request.
+const MAX_FAILURES: u32 = 5;
 
-/// Longest pause before the second attempt.
-const FIRST_PAUSE: Duration = Duration::from_millis(5);
+/// Upper limit of the backoff before the second attempt.
+const FIRST_BACKOFF: Duration = Duration::from_millis(5);
 
-/// Longest pause before any attempt.
-const LONGEST_PAUSE: Duration = Duration::from_millis(200);
+/// Upper limit of the backoff before any attempt.
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Longest first pause before a full group is asked again.
-const FIRST_GROUP_PAUSE: Duration = Duration::from_millis(40);
+/// Upper limit of the first backoff after a group had no free memory.
+const FIRST_GROUP_BACKOFF: Duration = Duration::from_millis(40);
 
-/// Longest pause before a full group is asked again.
-const LONGEST_GROUP_PAUSE: Duration = Duration::from_millis(500);
+/// Upper limit of any backoff after a group had no free memory.
+const MAX_GROUP_BACKOFF: Duration = Duration::from_millis(500);
 
-/// What is remembered of a request's failed attempts.
+/// Failed attempts of a request.
 #[derive(Debug)]
 pub(super) struct Retries {
     backoff: Backoff,
     group_backoff: Backoff,
-    /// Attempts that failed otherwise than by a full group.
-    failed: u32,
+    /// Number of failed attempts, without those for which a group had no free
+    /// memory, plus the times that excluded engines were readmitted.
+    failures: u32,
     /// Whether any attempt may have run.
     pub(super) may_have_run: bool,
-    /// Engines that failed this request since one of them was last needed.
+    /// Engines at which this request failed since the excluded ones were last
+    /// readmitted.
     excluded: Vec<InstanceId>,
 }
 
 impl Retries {
-    /// Nothing has failed yet.
+    /// State of a request without a failure.
     pub(super) fn new() -> Self {
         Self {
-            backoff: Backoff::new(FIRST_PAUSE, LONGEST_PAUSE, rand::random()),
-            group_backoff: Backoff::new(FIRST_GROUP_PAUSE, LONGEST_GROUP_PAUSE, rand::random()),
-            failed: 0,
+            backoff: Backoff::new(FIRST_BACKOFF, MAX_BACKOFF, rand::random()),
+            group_backoff: Backoff::new(FIRST_GROUP_BACKOFF, MAX_GROUP_BACKOFF, rand::random()),
+            failures: 0,
             may_have_run: false,
             excluded: Vec::new(),
         }
     }
 
-    /// Engines to leave out.
+    /// Engines to exclude from placement.
     pub(super) fn excluded(&self) -> &[InstanceId] {
         &self.excluded
     }
 
-    /// Notes a failed attempt and leaves its engine out from now on.
-    pub(super) fn note(&mut self, error: &SendError) {
+    /// Records a failed attempt and excludes its engine.
+    pub(super) fn record_failure(&mut self, error: &SendError) {
         self.may_have_run |= error.outcome() != Outcome::NotRun;
-        self.failed += 1;
+        self.failures += 1;
         self.excluded.push(error.peer().clone());
     }
 
-    /// Takes the engines in again that were left out; false when there are none
-    /// or too much has failed.
-    pub(super) fn forgive(&mut self) -> bool {
-        if self.excluded.is_empty() || self.failed >= FAILURES_LIMIT {
+    /// Readmits the excluded engines; returns false if there are none or the limit
+    /// of failures is reached.
+    pub(super) fn readmit_engines(&mut self) -> bool {
+        if self.excluded.is_empty() || self.failures >= MAX_FAILURES {
             return false;
         }
-        self.failed += 1;
+        self.failures += 1;
         self.excluded.clear();
         true
     }
 
     /// Whether another attempt may be made after one that ended with `outcome`.
     ///
-    /// The retry budget is not asked where an attempt put no load on anyone,
-    /// nor for an answer that has begun: those are no more than the streams in
-    /// progress, and giving them up would waste what was computed.
-    pub(super) fn allowed(
+    /// Not charged to the retry budget are attempts that caused no load at an
+    /// engine, and retries of an answer that has begun: their number is bounded by
+    /// the streams in progress, and abandoning them would waste the tokens computed
+    /// so far.
+    pub(super) fn may_retry(
         &self,
         outcome: EngineOutcome,
         has_begun: bool,
         admission: &Admission,
     ) -> bool {
-        let is_free = outcome == EngineOutcome::Unreachable || has_begun;
-        self.failed < FAILURES_LIMIT && (is_free || admission.retry_budget().try_take())
+        let is_exempt_from_budget = outcome == EngineOutcome::Unreachable || has_begun;
+        self.failures < MAX_FAILURES
+            && (is_exempt_from_budget || admission.retry_budget().try_take())
     }
 
-    /// Waits before another attempt.
-    pub(super) async fn pause(&mut self) {
+    /// Waits before the next attempt.
+    pub(super) async fn back_off(&mut self) {
         compio::time::sleep(self.backoff.next_wait()).await;
     }
 
-    /// Waits for memory that other groups hold.
-    pub(super) async fn pause_for_group(&mut self) {
+    /// Waits before memory is requested from a group again.
+    pub(super) async fn back_off_for_group(&mut self) {
         compio::time::sleep(self.group_backoff.next_wait()).await;
     }
 
-    /// What is known of the work if the request ends now without its answer.
+    /// Outcome of the request if it ended now without a complete answer.
     pub(super) fn outcome(&self) -> Outcome {
         if self.may_have_run {
             Outcome::Failed
@@ -108,8 +113,8 @@
         }
     }
 
-    /// Error of the last attempt, telling also of the earlier ones.
-    pub(super) fn settle(&self, error: SendError) -> SendError {
+    /// Error of the last attempt, extended if an earlier attempt may have run.
+    pub(super) fn final_error(&self, error: SendError) -> SendError {
         if self.may_have_run && error.outcome() == Outcome::NotRun {
             let cause = format!("{error}, after earlier attempts that may have run");
             return SendError::Protocol {
@@ -121,7 +126,7 @@
     }
 }
 
-/// What a failed attempt says of its engine.
+/// Outcome of a failed attempt for the engine's health.
 pub(super) fn engine_outcome(error: &SendError) -> EngineOutcome {
     match error {
         SendError::ConnectionFailed { step, .. } | SendError::Timeout { step, .. }
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -1,4 +1,4 @@
-//! What every request of a daemon shares.
+//! State shared by all requests of a daemon.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -18,26 +18,26 @@
 
 use crate::error::EntryError;
 use crate::router;
-use crate::service::ServiceTurns;
+use crate::service::InstanceRotation;
 
-/// Limits of what a caller may send and how long its connection may stall.
+/// Limits on requests, bodies and stalled connections of callers.
 #[derive(Debug, Clone, Copy)]
 pub struct EntryLimits {
-    /// Most requests in progress at once; one more is refused at once.
+    /// Maximum number of requests in progress; further ones are refused immediately.
     pub in_progress_limit_requests: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_limit_bytes: usize,
     /// Memory for the bodies of all requests in progress, in bytes.
     pub bodies_limit_bytes: usize,
-    /// Longest time for a request's body to arrive.
+    /// Maximum time for a request's body to arrive.
     pub body_timeout: Duration,
-    /// Longest time for which a reader of a stream may take no token.
+    /// Maximum time for which the reader of a stream may accept no token.
     pub stall_timeout: Duration,
-    /// Tokens held for a reader that is slower than its engine.
+    /// Number of tokens buffered for a reader that is slower than the engine.
     pub stream_buffer_frames: usize,
-    /// Longest answer of a plain service, in bytes.
+    /// Maximum size of a service's response, in bytes.
     pub service_answer_limit_bytes: usize,
-    /// Time limit of a service call that names no class.
+    /// Time limit of a service call without a class.
     pub service_timeout: Duration,
 }
 
@@ -56,28 +56,28 @@
     }
 }
 
-/// The neighbours that an [`Entry`] asks.
+/// Components that an [`Entry`] uses.
 #[derive(Debug, Clone)]
 pub struct EntryParts {
     /// Availability zone of this daemon.
     pub availability_zone: AvailabilityZone,
-    /// Configuration and instances in force.
+    /// Source of the current configuration and instances.
     pub platform: Platform,
-    /// When a request may start.
+    /// Decides when a request may start.
     pub admission: Admission,
-    /// Where a request goes.
+    /// Selects the engine for a request.
     pub placement: Placement,
-    /// Whether an order may run.
+    /// Decides whether an order may run.
     pub once: Once,
     /// Connections to upstreams.
     pub connections: Connections,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Limits towards callers.
+    /// Limits on callers.
     pub limits: EntryLimits,
 }
 
-/// The caller-facing side of a daemon. Clones share their state.
+/// HTTP server side of a daemon. Clones share their state.
 #[derive(Debug, Clone)]
 pub struct Entry(Rc<Shared>);
 
@@ -85,15 +85,15 @@
 struct Shared {
     parts: EntryParts,
     in_progress: Cell<usize>,
-    /// Memory taken by bodies, in bytes.
+    /// Memory reserved for bodies, in bytes.
     bodies_bytes: Cell<usize>,
-    /// Set once the daemon stops: the time after which a caller may come back.
+    /// Set once the daemon stops: the time after which a caller may retry.
     stopping: Cell<Option<Duration>>,
-    service_turns: ServiceTurns,
+    instance_rotation: InstanceRotation,
 }
 
 impl Entry {
-    /// Entry over its neighbours.
+    /// Creates an entry that uses `parts`.
     #[must_use]
     pub fn new(parts: EntryParts) -> Self {
         Self(Rc::new(Shared {
@@ -101,39 +101,39 @@
             in_progress: Cell::new(0),
             bodies_bytes: Cell::new(0),
             stopping: Cell::new(None),
-            service_turns: ServiceTurns::default(),
+            instance_rotation: InstanceRotation::default(),
         }))
     }
 
-    /// Answers one request of the caller at `peer`.
+    /// Handles one request from `peer`.
     pub async fn handle(self, request: Request<Incoming>, peer: SocketAddr) -> Response<Body> {
         router::route(&self, request, peer).await
     }
 
-    /// Refuses all new work from now on; callers may come back after `retry_after`.
+    /// Refuses all new requests from now on; callers may retry after `retry_after`.
     pub fn stop(&self, retry_after: Duration) {
         self.0.stopping.set(Some(retry_after));
         self.0.parts.admission.close(retry_after);
     }
 
-    /// Requests admitted and not yet answered whole.
+    /// Number of requests that were received and are not yet completely answered.
     #[must_use]
     pub fn in_progress(&self) -> usize {
         self.0.in_progress.get()
     }
 
-    /// Whether new work is refused.
+    /// Whether new requests are refused.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stopping().is_some()
     }
 
-    /// Time after which a caller may come back, when the daemon stops.
+    /// Time after which a caller may retry, if the daemon is stopping.
     pub(crate) fn stopping(&self) -> Option<Duration> {
         self.0.stopping.get()
     }
 
-    /// The configuration in force.
+    /// Current configuration.
     ///
     /// # Errors
     /// [`EntryError::NoConfiguration`] while none is known.
@@ -146,7 +146,7 @@
         &self.0.parts
     }
 
-    /// Counts a request as in progress while the guard lives.
+    /// Counts a request as in progress until the returned guard is dropped.
     pub(crate) fn begin(&self, body: Incoming) -> Rc<Active> {
         self.0.in_progress.set(self.0.in_progress.get() + 1);
         Rc::new(Active {
@@ -156,37 +156,37 @@
         })
     }
 
-    /// Memory taken by bodies, in bytes.
+    /// Memory reserved for bodies, in bytes.
     pub(crate) fn bodies_bytes(&self) -> &Cell<usize> {
         &self.0.bodies_bytes
     }
 
-    /// What is remembered of the services' instances.
-    pub(crate) fn service_turns(&self) -> &ServiceTurns {
-        &self.0.service_turns
+    /// Order and recent failures of the services' instances.
+    pub(crate) fn instance_rotation(&self) -> &InstanceRotation {
+        &self.0.instance_rotation
     }
 }
 
-/// Counts one request in progress, from its head to the end of its answer.
+/// A request in progress, counted from its head to the end of its response.
 pub(crate) struct Active {
     entry: Entry,
-    /// Body of the request until somebody reads it.
+    /// Body of the request until it is taken.
     body: Cell<Option<Incoming>>,
     announced_bytes: Option<u64>,
 }
 
 impl Active {
-    /// The entry side it belongs to.
+    /// Entry that received the request.
     pub(crate) fn entry(&self) -> &Entry {
         &self.entry
     }
 
-    /// Body of the request, for the first who asks.
+    /// Takes the body of the request; `None` if it was taken before.
     pub(crate) fn take_body(&self) -> Option<Incoming> {
         self.body.take()
     }
 
-    /// Length of the body as the request's head tells it, in bytes.
+    /// Length of the body according to the request's head, in bytes.
     pub(crate) fn announced_bytes(&self) -> Option<u64> {
         self.announced_bytes
     }
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,4 +1,4 @@
-//! Everything that can keep a request from its answer, as the caller sees it.
+//! Errors of requests and their representation towards callers.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use mangofront_upstream::SendError;
 use thiserror::Error;
 
-/// A request that was not answered as asked.
+/// Reason why a request failed or was refused.
 #[derive(Debug, Error)]
 pub(crate) enum EntryError {
     #[error("no such path: {path}")]
     UnknownPath { path: String },
-    #[error("this path takes {wanted}")]
-    WrongMethod { wanted: Method },
+    #[error("this path takes {allowed}")]
+    WrongMethod { allowed: Method },
     #[error("header {name} is missing")]
     MissingHeader { name: &'static str },
     #[error("header {name} is not readable text")]
@@ -97,10 +97,11 @@
         }
     }
 
-    /// What is known of the work behind the request.
+    /// What is known about the execution of the request.
     ///
-    /// A model's answer is worth nothing without its caller, so an attempt of
-    /// unknown end counts as failed; a service's call may have done something.
+    /// A model's answer has no effect unless the caller receives it, so an attempt
+    /// with an unknown outcome counts as failed. A service call may have had side
+    /// effects.
     pub(crate) fn outcome(&self) -> Outcome {
         match self {
             Self::DeadlineExceeded { outcome }
@@ -115,12 +116,12 @@
         }
     }
 
-    /// Whether the caller may simply come back later.
+    /// Whether the request did not run and the caller may retry it later.
     pub(crate) fn is_refusal(&self) -> bool {
         self.outcome() == Outcome::NotRun && self.retry_after().is_some()
     }
 
-    /// Whether the request had been read when the error arose.
+    /// Whether the request had been read when the error occurred.
     pub(crate) fn was_in_progress(&self) -> bool {
         matches!(
             self,
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Step at which the error arose.
+    /// Processing step at which the error occurred.
     fn step(&self) -> &'static str {
         match self {
             Self::Body(_) | Self::BodyTimeout => "read_body",
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,12 +1,12 @@
-//! HTTP towards callers.
+//! HTTP server for callers.
 //!
-//! Owns a request from the caller's first byte to the last byte of its answer:
-//! reading and checking it (`caller`, `completion`, `service`), the
-//! order of decisions (admit, place, send, try again), and the shape of what
-//! the caller sees (`error`). The decisions themselves are its neighbours':
-//! `admission` says when, `placement` where, `once` whether at all, `upstream`
-//! sends. One task serves each connection; a streamed answer gets a second
-//! one, so that its time limit holds also when its reader stands still.
+//! Handles a request from its first byte to the last byte of its response: reading
+//! and validation (`caller`, `completion`, `service`), the order of the decisions
+//! (admit, place, send, retry), and the format of errors (`error`). The decisions
+//! are made by other crates: `admission` decides when a request may start,
+//! `placement` where it is sent, and `once` whether an order may run; `upstream`
+//! sends it. Each connection has its own task. A streamed answer has a second one,
+//! so that its time limit applies even if its reader stalls.
 
 mod bodies;
 mod caller;
--- a/crates/entry/src/models.rs
+++ b/crates/entry/src/models.rs
@@ -20,8 +20,8 @@
     owned_by: &'static str,
 }
 
-/// Answers with the models of the configuration in force.
-pub(crate) fn answer(entry: &Entry) -> Result<Response<Body>, EntryError> {
+/// Lists the models of the current configuration.
+pub(crate) fn list(entry: &Entry) -> Result<Response<Body>, EntryError> {
     let accepted = entry.configuration()?;
     let data = accepted
         .configuration
--- a/crates/entry/src/progress.rs
+++ b/crates/entry/src/progress.rs
@@ -1,9 +1,9 @@
-//! One request from its admission to its end, as the metrics see it.
+//! Metrics of one request, from the time it was read to its end.
 //!
-//! Every request that was read ends exactly once, with an outcome; one whose
-//! caller went away ends as cancelled, because its guard is dropped without
-//! another word. The guard also checks that the end lies within the class's
-//! time.
+//! Every request that was read is recorded exactly once, with its outcome. If the
+//! caller disconnects, the guard is dropped before an outcome was set, and the
+//! request is recorded as cancelled. The guard also checks that the request ended
+//! within the time limit of its class.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,26 +17,27 @@
 use crate::context::Active;
 use crate::error::EntryError;
 
-/// Class label of requests that name none, or were not read that far.
+/// Class label of requests without a class, or that failed before it was read.
 pub(crate) const NO_CLASS: &str = "none";
 
-/// How late a timer of a busy process may fire.
+/// Maximum delay of a timer in a busy process.
 ///
-/// The deadline itself is exact; this allows for the scheduling of the task
-/// that acts on it. A process that was paused acts once it goes on.
-const TIMER_SLACK: Duration = Duration::from_millis(500);
+/// The deadline itself is exact; this allows for the scheduling delay of the task
+/// that enforces it. For a process that was paused, the delay counts from the time
+/// at which it was resumed.
+const TIMER_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// A request in progress.
+/// Records the outcome of a request in progress when dropped.
 #[derive(Debug)]
-pub(crate) struct InProgress {
+pub(crate) struct RequestProgress {
     active: Rc<Active>,
     class: String,
     deadline: Instant,
     outcome: Cell<RequestOutcome>,
 }
 
-impl InProgress {
-    /// Takes note of a request of `caller`.
+impl RequestProgress {
+    /// Starts recording of a request from `caller`.
     pub(crate) fn begin(active: &Rc<Active>, caller: &Caller) -> Self {
         Self {
             active: Rc::clone(active),
@@ -46,17 +47,17 @@
         }
     }
 
-    /// Notes that the answer was given whole.
+    /// Records that the request was answered completely.
     pub(crate) fn answered(&self) {
         self.outcome.set(RequestOutcome::Answered);
     }
 
-    /// Notes that the request ended with `error`.
+    /// Records that the request failed with `error`.
     pub(crate) fn failed(&self, error: &EntryError) {
         self.outcome.set(request_outcome(error.outcome()));
     }
 
-    /// Records the first token of an answer to a prompt of `length_tokens`.
+    /// Records the time to the first token for a prompt of `length_tokens`.
     pub(crate) fn first_token(&self, length_tokens: u64, after: Duration) {
         let length = LengthBucket::of(length_tokens);
         let metrics = &self.active.entry().parts().metrics;
@@ -64,7 +65,7 @@
     }
 }
 
-impl Drop for InProgress {
+impl Drop for RequestProgress {
     fn drop(&mut self) {
         let metrics = &self.active.entry().parts().metrics;
         metrics.request_ended(&self.class, self.outcome.get());
@@ -73,13 +74,13 @@
         let late = Instant::now().saturating_duration_since(due);
         check(
             Invariant::RequestWithinClassTime,
-            late <= TIMER_SLACK,
+            late <= TIMER_TOLERANCE,
             || format!("a request of class {} ended {late:?} late", self.class),
         );
     }
 }
 
-/// Outcome of a request as its metric label.
+/// Metric label for an outcome.
 pub(crate) fn request_outcome(outcome: Outcome) -> RequestOutcome {
     match outcome {
         Outcome::NotRun => RequestOutcome::NotRun,
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -1,4 +1,4 @@
-//! Which handler answers which path.
+//! Routing of requests to their handlers.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,13 +14,13 @@
 use crate::progress::{NO_CLASS, request_outcome};
 use crate::{bodies, completion, models, service};
 
-/// Prefix of the paths of plain services.
-const SERVICES: &str = "/v1/services/";
+/// Path prefix of service calls.
+const SERVICES_PREFIX: &str = "/v1/services/";
 
-/// Time after which a caller may come back to a daemon that is full.
+/// Time after which a caller may retry at a daemon with too many requests.
 const RETRY_AFTER_FULL: Duration = Duration::from_secs(1);
 
-/// Time after which a caller may ask another daemon for a key.
+/// Time after which a caller may request a key from another daemon.
 const RETRY_AFTER_MINT: Duration = Duration::from_secs(1);
 
 enum Route {
@@ -30,32 +30,32 @@
     Service,
 }
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn route(
     entry: &Entry,
     request: Request<Incoming>,
     peer: SocketAddr,
 ) -> Response<Body> {
     let id = uuid::Uuid::new_v4().simple().to_string();
-    let unanswered = Unanswered::new(&id, peer);
+    let pending_response = PendingResponse::new(&id, peer);
     let (head, body) = request.into_parts();
     let active = entry.begin(body);
-    let answered = match (entry.stopping(), find(&head.method, head.uri.path())) {
+    let result = match (entry.stopping(), find_route(&head.method, head.uri.path())) {
         (Some(retry_after), _) => Err(EntryError::Stopping { retry_after }),
-        (None, Ok(_)) if is_full(entry) => Err(too_many()),
+        (None, Ok(_)) if is_full(entry) => Err(too_many_requests()),
         (None, Ok(Route::Complete(endpoint))) => {
-            completion::answer(entry, &active, endpoint, &head, &id).await
+            completion::handle(entry, &active, endpoint, &head, &id).await
         }
-        (None, Ok(Route::Models)) => models::answer(entry),
-        (None, Ok(Route::MintKey)) => mint(entry),
-        (None, Ok(Route::Service)) => service::answer(entry, &active, head, &id).await,
+        (None, Ok(Route::Models)) => models::list(entry),
+        (None, Ok(Route::MintKey)) => mint_key(entry),
+        (None, Ok(Route::Service)) => service::handle(entry, &active, head, &id).await,
         (None, Err(error)) => Err(error),
     };
-    if let Some(unread) = active.take_body() {
-        bodies::discard(entry, unread).await;
+    if let Some(unread_body) = active.take_body() {
+        bodies::discard(entry, unread_body).await;
     }
-    let mut response = answered.unwrap_or_else(|error| {
-        log::debug!("entry: request {id} of {peer} failed: {error}");
+    let mut response = result.unwrap_or_else(|error| {
+        log::debug!("entry: request {id} from {peer} failed: {error}");
         count_failure(entry, &error);
         error.into_response(&id)
     });
@@ -63,23 +63,23 @@
         response.headers_mut().insert(headers::REQUEST_ID, value);
     }
     if entry.is_stopping() {
-        // The caller then sends its next request elsewhere, and not on a
-        // connection that is closed in the same moment.
+        // Makes the caller send its next request to another daemon instead of on
+        // a connection that may be closed at the same moment.
         let headers = response.headers_mut();
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    unanswered.answered();
+    pending_response.sent();
     response
 }
 
-/// A request whose answer has no head yet; one that is dropped leaves a line.
-struct Unanswered {
+/// Request whose response has no head yet; logs a line if it is dropped before.
+struct PendingResponse {
     id: String,
     peer: SocketAddr,
     since: Option<Instant>,
 }
 
-impl Unanswered {
+impl PendingResponse {
     fn new(id: &str, peer: SocketAddr) -> Self {
         Self {
             id: id.to_owned(),
@@ -88,47 +88,47 @@
         }
     }
 
-    fn answered(mut self) {
+    fn sent(mut self) {
         self.since = None;
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
         let Some(since) = self.since else {
             return;
         };
         let (id, peer, waited) = (&self.id, self.peer, since.elapsed());
-        log::info!("entry: request {id} of {peer} dropped after {waited:?}, its caller is gone");
+        log::info!("entry: request {id} from {peer} dropped after {waited:?}: caller disconnected");
     }
 }
 
-fn find(method: &Method, path: &str) -> Result<Route, EntryError> {
-    let (wanted, route) = match path {
+fn find_route(method: &Method, path: &str) -> Result<Route, EntryError> {
+    let (allowed, route) = match path {
         "/v1/completions" => (Method::POST, Route::Complete(Endpoint::Completions)),
         "/v1/chat/completions" => (Method::POST, Route::Complete(Endpoint::ChatCompletions)),
         "/v1/idempotency-keys" => (Method::POST, Route::MintKey),
         "/v1/models" => (Method::GET, Route::Models),
-        _ if path.starts_with(SERVICES) => return Ok(Route::Service),
+        _ if path.starts_with(SERVICES_PREFIX) => return Ok(Route::Service),
         _ => {
             return Err(EntryError::UnknownPath {
                 path: path.to_owned(),
             });
         }
     };
-    if *method == wanted {
+    if *method == allowed {
         Ok(route)
     } else {
-        Err(EntryError::WrongMethod { wanted })
+        Err(EntryError::WrongMethod { allowed })
     }
 }
 
-/// Whether more requests are in progress than this daemon has memory for.
+/// Whether more requests are in progress than the limit allows.
 fn is_full(entry: &Entry) -> bool {
     entry.in_progress() > entry.parts().limits.in_progress_limit_requests
 }
 
-fn too_many() -> EntryError {
+fn too_many_requests() -> EntryError {
     EntryError::Refused {
         code: "too_many_requests",
         reason: "too many requests are in progress at this daemon".to_owned(),
@@ -141,7 +141,7 @@
     key: String,
 }
 
-fn mint(entry: &Entry) -> Result<Response<Body>, EntryError> {
+fn mint_key(entry: &Entry) -> Result<Response<Body>, EntryError> {
     let minted = entry.parts().once.mint();
     let key = minted.map_err(|_stopping| EntryError::Stopping {
         retry_after: RETRY_AFTER_MINT,
@@ -149,7 +149,7 @@
     Ok(json(StatusCode::CREATED, &MintedKey { key }))
 }
 
-/// Counts a failure whose request never came to be in progress.
+/// Counts a refusal, and a failure of a request that was not yet in progress.
 fn count_failure(entry: &Entry, error: &EntryError) {
     let metrics = &entry.parts().metrics;
     if error.is_refusal() {
--- a/crates/entry/src/service/mod.rs
+++ b/crates/entry/src/service/mod.rs
@@ -1,9 +1,9 @@
-//! Calls of plain services.
+//! Calls to services.
 //!
-//! A call that carries an idempotency key, or that the configuration lists as
+//! A call that has an idempotency key, or that the configuration lists as
 //! non-repeatable, goes through `once` and is sent at most once ([`order`]).
-//! Any other call is sent again elsewhere only while it is certain that no
-//! byte of it was written, or when its method is safe.
+//! Any other call is retried at another instance only if no byte of it was written
+//! or its method is safe.
 
 mod order;
 mod targets;
@@ -19,41 +19,41 @@
 use mangofront_upstream::service::{Call, ServiceResponse, call};
 use percent_encoding::percent_decode_str;
 
-use crate::bodies::{self, HeldBody};
+use crate::bodies::{self, BufferedBody};
 use crate::caller::{self, Caller};
 use crate::context::{Active, Entry};
 use crate::error::EntryError;
-use crate::progress::{InProgress, NO_CLASS};
-pub(crate) use targets::{ServiceTurns, targets};
+use crate::progress::{NO_CLASS, RequestProgress};
+pub(crate) use targets::{InstanceRotation, targets};
 
-/// Time after which a caller may come back when no instance of a service is left.
+/// Time after which a caller may retry when no instance of a service is available.
 pub(crate) const RETRY_AFTER_NO_SERVICE: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// Prefix of the paths of plain services.
-const SERVICES: &str = "/v1/services/";
+/// Path prefix of service calls.
+const SERVICES_PREFIX: &str = "/v1/services/";
 
 /// Whether a call may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Repeat {
+enum Repeatability {
     Allowed,
     Forbidden,
 }
 
-/// A call that was read and checked.
+/// A call that was read and validated.
 #[derive(Debug)]
 pub(crate) struct ServiceCall {
     pub(crate) caller: Caller,
     pub(crate) service: ServiceName,
     pub(crate) call: Call,
-    /// Holds the memory of the call's body.
-    _body: HeldBody,
+    /// Keeps the memory of the call's body reserved.
+    _body: BufferedBody,
 }
 
-/// Answers a call of a plain service.
+/// Handles a call to a service.
 ///
 /// # Errors
-/// Anything that keeps it from the service's own answer.
-pub(crate) async fn answer(
+/// Any failure because of which there is no response of the service.
+pub(crate) async fn handle(
     entry: &Entry,
     active: &Rc<Active>,
     head: Parts,
@@ -61,47 +61,48 @@
 ) -> Result<Response<Body>, EntryError> {
     let arrived = Instant::now();
     let key = caller::text(&head.headers, headers::IDEMPOTENCY_KEY)?.map(str::to_owned);
-    let (service_call, repeat) = read(active, head, arrived, id).await?;
-    let progress = InProgress::begin(active, &service_call.caller);
-    let answered = match (key, repeat) {
+    let (service_call, repeatability) = read_call(active, head, arrived, id).await?;
+    let progress = RequestProgress::begin(active, &service_call.caller);
+    let result = match (key, repeatability) {
         (Some(key), _) => order::execute(entry, active, service_call, key).await,
-        (None, Repeat::Forbidden) => Err(EntryError::KeyRequired),
-        (None, Repeat::Allowed) => send(entry, &service_call).await,
+        (None, Repeatability::Forbidden) => Err(EntryError::KeyRequired),
+        (None, Repeatability::Allowed) => send(entry, &service_call).await,
     };
-    match &answered {
+    match &result {
         Ok(_) => progress.answered(),
         Err(error) => progress.failed(error),
     }
-    answered.map(respond)
+    result.map(into_response)
 }
 
-async fn read(
+async fn read_call(
     active: &Active,
     head: Parts,
     arrived: Instant,
     id: &str,
-) -> Result<(ServiceCall, Repeat), EntryError> {
+) -> Result<(ServiceCall, Repeatability), EntryError> {
     let entry = active.entry();
     let accepted = entry.configuration()?;
     let configuration = &accepted.configuration;
     let (service, path) = split_path(&head)?;
-    let rules = configuration
-        .services
-        .get(&service)
-        .ok_or_else(|| EntryError::UnknownService {
-            service: service.clone(),
-        })?;
-    let repeat = repeat(rules, &head.method, &path);
+    let service_configuration =
+        configuration
+            .services
+            .get(&service)
+            .ok_or_else(|| EntryError::UnknownService {
+                service: service.clone(),
+            })?;
+    let repeatability = repeatability(service_configuration, &head.method, &path);
     let caller = identify(entry, configuration, &head, arrived)?;
     let body = bodies::read(active, caller.deadline).await?;
-    let mut passed_on = head.headers;
+    let mut forwarded_headers = head.headers;
     if let Ok(value) = id.parse() {
-        passed_on.insert(headers::REQUEST_ID, value);
+        forwarded_headers.insert(headers::REQUEST_ID, value);
     }
     let call = Call {
         method: head.method,
         path_and_query: path,
-        headers: passed_on,
+        headers: forwarded_headers,
         body: body.content.clone(),
     };
     let service_call = ServiceCall {
@@ -110,10 +111,10 @@
         call,
         _body: body,
     };
-    Ok((service_call, repeat))
+    Ok((service_call, repeatability))
 }
 
-/// Caller of a service; its class is optional.
+/// Identifies the caller of a service; its class is optional.
 fn identify(
     entry: &Entry,
     configuration: &Configuration,
@@ -138,15 +139,16 @@
     }
 }
 
-/// Service's name, and the path and query below it.
+/// Splits a request's path into the service's name, and the path and query relative
+/// to the service.
 fn split_path(head: &Parts) -> Result<(ServiceName, String), EntryError> {
     let path = head
         .uri
         .path_and_query()
         .map_or("/", http::uri::PathAndQuery::as_str);
-    let below = path.strip_prefix(SERVICES).unwrap_or_default();
-    let end = below.find(['/', '?']).unwrap_or(below.len());
-    let (service, rest) = below.split_at(end);
+    let relative = path.strip_prefix(SERVICES_PREFIX).unwrap_or_default();
+    let end = relative.find(['/', '?']).unwrap_or(relative.len());
+    let (service, rest) = relative.split_at(end);
     if service.is_empty() {
         return Err(EntryError::UnknownPath {
             path: path.to_owned(),
@@ -160,11 +162,11 @@
     Ok((service.to_owned(), rest))
 }
 
-/// The path as a service may read it: decoded, without empty and dot segments.
+/// Normalises a path as a service may do: decoded, without empty and dot segments.
 ///
-/// A call that some service would take for a non-repeatable one has to be
-/// treated as one, in whatever spelling it comes.
-fn plain_path(path: &str) -> String {
+/// A call that a service may interpret as a non-repeatable one must be treated as
+/// such, however its path is spelled.
+fn normalised_path(path: &str) -> String {
     let decoded = percent_decode_str(path).decode_utf8_lossy();
     let mut segments = Vec::new();
     for segment in decoded.split('/') {
@@ -179,18 +181,18 @@
     format!("/{}", segments.join("/"))
 }
 
-fn repeat(service: &Service, method: &Method, path_and_query: &str) -> Repeat {
+fn repeatability(service: &Service, method: &Method, path_and_query: &str) -> Repeatability {
     let path = path_and_query.split('?').next().unwrap_or_default();
-    let plain = plain_path(path);
+    let normalised = normalised_path(path);
     let matches = |pattern: &CallPattern| {
         let same_method = pattern.method.eq_ignore_ascii_case(method.as_str());
         let prefix = &pattern.path_prefix;
-        same_method && (path.starts_with(prefix) || plain.starts_with(prefix))
+        same_method && (path.starts_with(prefix) || normalised.starts_with(prefix))
     };
     if service.non_repeatable.iter().any(matches) {
-        Repeat::Forbidden
+        Repeatability::Forbidden
     } else {
-        Repeat::Allowed
+        Repeatability::Allowed
     }
 }
 
@@ -198,8 +200,8 @@
 async fn send(entry: &Entry, service_call: &ServiceCall) -> Result<ServiceResponse, EntryError> {
     let parts = entry.parts();
     let limit_bytes = parts.limits.service_answer_limit_bytes;
-    let safe = service_call.call.method.is_safe();
-    let mut failure = no_service();
+    let is_safe = service_call.call.method.is_safe();
+    let mut failure = no_service_instance();
     parts.platform.refreshed().await;
     for target in targets(entry, &service_call.service) {
         let sent = call(
@@ -207,41 +209,41 @@
             &target,
             service_call.call.clone(),
             limit_bytes,
-            patience(service_call, safe),
+            attempt_deadline(service_call, is_safe),
         );
         let error = match sent.await {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(error) => error,
         };
         parts.metrics.upstream_error(error.step_name());
-        entry.service_turns().failed(&error);
-        let again = safe || error.outcome() == Outcome::NotRun;
-        // What an earlier try may have done is not undone by a later one that
-        // did nothing.
+        entry.instance_rotation().record_failure(&error);
+        let may_retry = is_safe || error.outcome() == Outcome::NotRun;
+        // An earlier attempt may have had side effects, so a later failure must not
+        // replace it: a request is reported as not run only if no attempt ran.
         if failure.outcome() == Outcome::NotRun {
             failure = EntryError::Service(error);
         }
-        if !again || !parts.admission.retry_budget().try_take() {
+        if !may_retry || !parts.admission.retry_budget().try_take() {
             break;
         }
     }
     Err(failure)
 }
 
-/// Until when one instance may take to answer.
+/// Time by which one instance must have answered.
 ///
-/// A safe call leaves half of its time for another instance.
-fn patience(service_call: &ServiceCall, safe: bool) -> Instant {
+/// Half of the remaining time of a safe call is reserved for another instance.
+fn attempt_deadline(service_call: &ServiceCall, is_safe: bool) -> Instant {
     let deadline = service_call.caller.deadline;
-    if !safe {
+    if !is_safe {
         return deadline;
     }
     let now = Instant::now();
     now + deadline.saturating_duration_since(now) / 2
 }
 
-/// Error for a service without a live instance.
-pub(crate) fn no_service() -> EntryError {
+/// Error for a service without an available instance.
+pub(crate) fn no_service_instance() -> EntryError {
     EntryError::NoUpstream {
         kind: "service",
         outcome: Outcome::NotRun,
@@ -249,9 +251,9 @@
     }
 }
 
-fn respond(answer: ServiceResponse) -> Response<Body> {
-    let mut response = Response::new(full(answer.body));
-    *response.status_mut() = answer.status;
-    *response.headers_mut() = answer.headers;
+fn into_response(service_response: ServiceResponse) -> Response<Body> {
+    let mut response = Response::new(full(service_response.body));
+    *response.status_mut() = service_response.status;
+    *response.headers_mut() = service_response.headers;
     response
 }
--- a/crates/entry/src/service/order.rs
+++ b/crates/entry/src/service/order.rs
@@ -1,10 +1,10 @@
-//! Orders that may not repeat.
+//! Orders, which must not be repeated.
 //!
-//! `once` says whether this call may run the order. The one run it allows sends
-//! the call to the first instance of the service that can be connected to;
-//! after the first byte was written there is no second try. The run has a task
-//! of its own: a caller that goes away must not lose the outcome, which a retry
-//! asks for.
+//! `once` decides whether this call may run the order. The single run that it
+//! permits sends the call to the first instance of the service to which a
+//! connection can be opened, and is not retried after the first byte was written.
+//! The run has its own task, so that its outcome is recorded for a later retry even
+//! if the caller disconnects.
 
 use std::rc::Rc;
 
@@ -23,13 +23,13 @@
 use crate::context::{Active, Entry};
 use crate::error::EntryError;
 
-/// Header of an answer that was given before.
-const REPLAYED: &str = "mangofront-replayed";
+/// Header of a response that is a replay of an earlier one.
+const REPLAYED_HEADER: &str = "mangofront-replayed";
 
-/// Runs an order under `key`, or answers with what became of it.
+/// Runs an order under `key`, or returns the outcome of its earlier run.
 ///
 /// # Errors
-/// [`EntryError::Order`] whenever there is no answer of the service to give.
+/// [`EntryError::Order`] if there is no response of the service to return.
 pub(crate) async fn execute(
     entry: &Entry,
     active: &Rc<Active>,
@@ -41,13 +41,13 @@
     let active = Rc::clone(active);
     compio::runtime::spawn(async move {
         let decision = decide(&entry, &service_call, key).await;
-        // A caller that went away takes its answer from a later retry.
+        // A caller that has disconnected gets the outcome with a later retry.
         let _ = sender.send(decision);
         drop(active);
     })
     .detach();
     match receiver.await {
-        Ok(decision) => answer(decision),
+        Ok(decision) => to_response(decision),
         Err(oneshot::Canceled) => Err(EntryError::Order {
             code: "outcome_unknown",
             outcome: Outcome::Unknown,
@@ -64,16 +64,16 @@
         fingerprint: fingerprint(service_call),
     };
     let once = &entry.parts().once;
-    let run = |permit| run(entry, service_call, permit);
+    let run = |permit| run_once(entry, service_call, permit);
     let decision = once.execute(order, service_call.caller.deadline, run).await;
     let violations = once.counters().violations;
     check(Invariant::AtMostOnce, violations == 0, || {
-        format!("{violations} claims were used beyond their one run")
+        format!("{violations} claims were used for more than one run")
     });
     decision
 }
 
-/// Digest of what the key stands for: the same key may name no other call.
+/// Digest of the call, as the same key must not be used for a different call.
 fn fingerprint(service_call: &ServiceCall) -> Fingerprint {
     let path = format!(
         "{}{}",
@@ -83,11 +83,11 @@
     Fingerprint::of(method, &path, &service_call.call.body)
 }
 
-async fn run(entry: &Entry, service_call: &ServiceCall, permit: RunPermit) -> RunOutcome {
+async fn run_once(entry: &Entry, service_call: &ServiceCall, permit: RunPermit) -> RunOutcome {
     let parts = entry.parts();
     let deadline = service_call.caller.deadline;
-    let opened = match open(entry, service_call).await {
-        Ok(opened) => opened,
+    let connection = match open_connection(entry, service_call).await {
+        Ok(connection) => connection,
         Err(reason) => return RunOutcome::NotStarted { reason },
     };
     let _begun = match permit.begin() {
@@ -99,11 +99,11 @@
     };
     let limit_bytes = parts.limits.service_answer_limit_bytes;
     let call = service_call.call.clone();
-    match call_once(opened, call, limit_bytes, deadline).await {
-        Ok(answer) => RunOutcome::Answered(stored(answer)),
+    match call_once(connection, call, limit_bytes, deadline).await {
+        Ok(response) => RunOutcome::Answered(to_stored_answer(response)),
         Err(error) => {
             parts.metrics.upstream_error(error.step_name());
-            entry.service_turns().failed(&error);
+            entry.instance_rotation().record_failure(&error);
             let reason = error.to_string();
             match error.outcome() {
                 Outcome::NotRun => RunOutcome::NotStarted { reason },
@@ -113,18 +113,21 @@
     }
 }
 
-/// Opens a connection to the first instance of the service that takes one.
-async fn open(entry: &Entry, service_call: &ServiceCall) -> Result<FreshConnection, String> {
+/// Opens a connection to the first instance of the service that accepts one.
+async fn open_connection(
+    entry: &Entry,
+    service_call: &ServiceCall,
+) -> Result<FreshConnection, String> {
     let parts = entry.parts();
     let mut reason = "no instance of the service takes work".to_owned();
     parts.platform.refreshed().await;
     for target in targets(entry, &service_call.service) {
         let deadline = service_call.caller.deadline;
         match parts.connections.open(&target, deadline).await {
-            Ok(opened) => return Ok(opened),
+            Ok(connection) => return Ok(connection),
             Err(error) => {
                 parts.metrics.upstream_error(error.step_name());
-                entry.service_turns().failed(&error);
+                entry.instance_rotation().record_failure(&error);
                 reason = error.to_string();
             }
         }
@@ -132,8 +135,8 @@
     Err(reason)
 }
 
-fn stored(answer: ServiceResponse) -> Answer {
-    let headers = answer
+fn to_stored_answer(response: ServiceResponse) -> Answer {
+    let headers = response
         .headers
         .iter()
         .filter_map(|(name, value)| {
@@ -142,13 +145,13 @@
         })
         .collect();
     Answer {
-        status: answer.status.as_u16(),
+        status: response.status.as_u16(),
         headers,
-        body: answer.body,
+        body: response.body,
     }
 }
 
-fn answer(decision: Decision) -> Result<ServiceResponse, EntryError> {
+fn to_response(decision: Decision) -> Result<ServiceResponse, EntryError> {
     match decision {
         Decision::Answer(answer) => {
             let Answer {
@@ -168,7 +171,7 @@
             body: StoredBody::Whole(body),
         } => {
             let mut headers = header_map(headers);
-            headers.insert(REPLAYED, HeaderValue::from_static("true"));
+            headers.insert(REPLAYED_HEADER, HeaderValue::from_static("true"));
             Ok(ServiceResponse {
                 status: status_code(status),
                 headers,
@@ -202,7 +205,8 @@
                 OrderError::Conflict => "key_conflict",
                 OrderError::NeverMinted => "key_never_minted",
             },
-            // The key may have run, for another request; this one did not.
+            // The key may have been used to run another request; this one did not
+            // run.
             outcome: Outcome::NotRun,
             reason: error.to_string(),
             retry_after: None,
--- a/crates/entry/src/service/targets.rs
+++ b/crates/entry/src/service/targets.rs
@@ -1,8 +1,8 @@
-//! Which instance of a service gets a call.
+//! Order in which the instances of a service are tried.
 //!
-//! Instances of the daemon's own availability zone come first, in turns. One
-//! that could not be reached or did not answer comes last for a while, but is
-//! never left out: the only instance of a service stays its only instance.
+//! Instances in the daemon's own availability zone come first, in rotation. After
+//! a failure an instance comes last for a while, but is never excluded, because it
+//! may be the only one of its service.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,64 +14,64 @@
 
 use crate::context::Entry;
 
-/// Time for which an instance comes last after a failure.
-const LAST_FOR: Duration = Duration::from_secs(5);
+/// Time after a failure for which an instance is tried last.
+const FAILURE_PENALTY: Duration = Duration::from_secs(5);
 
-/// What this daemon remembers of the services' instances.
+/// Rotation of the services' instances, and their recent failures.
 #[derive(Debug, Default)]
-pub(crate) struct ServiceTurns {
-    next: Cell<usize>,
+pub(crate) struct InstanceRotation {
+    next_offset: Cell<usize>,
     failed: RefCell<HashMap<InstanceId, Instant>>,
 }
 
-impl ServiceTurns {
-    /// Notes a call that failed at its instance.
-    pub(crate) fn failed(&self, error: &SendError) {
+impl InstanceRotation {
+    /// Records a call that failed at its instance.
+    pub(crate) fn record_failure(&self, error: &SendError) {
         let now = Instant::now();
         let mut failed = self.failed.borrow_mut();
-        failed.retain(|_, since| now.duration_since(*since) < LAST_FOR);
+        failed.retain(|_, failed_at| now.duration_since(*failed_at) < FAILURE_PENALTY);
         failed.insert(error.peer().clone(), now);
     }
 
-    fn has_failed(&self, instance: &InstanceId) -> bool {
+    fn failed_recently(&self, instance: &InstanceId) -> bool {
         let failed = self.failed.borrow();
-        let since = failed.get(instance);
-        since.is_some_and(|since| since.elapsed() < LAST_FOR)
+        let failed_at = failed.get(instance);
+        failed_at.is_some_and(|failed_at| failed_at.elapsed() < FAILURE_PENALTY)
     }
 
-    fn next(&self) -> usize {
-        let turn = self.next.get();
-        self.next.set(turn.wrapping_add(1));
-        turn
+    fn next_offset(&self) -> usize {
+        let offset = self.next_offset.get();
+        self.next_offset.set(offset.wrapping_add(1));
+        offset
     }
 }
 
-/// Live instances of a service in the order in which to try them.
+/// Live instances of a service, in the order in which to try them.
 pub(crate) fn targets(entry: &Entry, service: &str) -> Vec<Target> {
     let Some(accepted) = entry.parts().platform.instances() else {
         return Vec::new();
     };
     let own_zone = &entry.parts().availability_zone;
-    let turns = entry.service_turns();
+    let rotation = entry.instance_rotation();
     let live = accepted.list.instances.iter();
     let mut live: Vec<(&Instance, Target)> = live
         .filter_map(|instance| Some((instance, live_target(instance, service)?)))
         .collect();
-    let turn = turns.next() % live.len().max(1);
-    live.rotate_left(turn);
+    let offset = rotation.next_offset() % live.len().max(1);
+    live.rotate_left(offset);
     live.sort_by_key(|(instance, target)| {
-        let elsewhere = instance.availability_zone != *own_zone;
-        (turns.has_failed(&target.instance), elsewhere)
+        let in_other_zone = instance.availability_zone != *own_zone;
+        (rotation.failed_recently(&target.instance), in_other_zone)
     });
     live.into_iter().map(|(_, target)| target).collect()
 }
 
-fn live_target(instance: &Instance, wanted: &str) -> Option<Target> {
+fn live_target(instance: &Instance, wanted_service: &str) -> Option<Target> {
     let InstanceRole::Service { address, service } = &instance.role else {
         return None;
     };
-    let takes_work = service == wanted && instance.state == InstanceState::Live;
-    takes_work.then(|| Target {
+    let is_candidate = service == wanted_service && instance.state == InstanceState::Live;
+    is_candidate.then(|| Target {
         instance: instance.instance.clone(),
         address: *address,
     })
