--- a/crates/entry/src/completion/attempts.rs
+++ b/crates/entry/src/completion/attempts.rs
@@ -133,7 +133,7 @@
         parts.platform.refreshed().await;
         let demand = &self.request.demand;
         let Ok(placed) = parts.placement.place(demand, self.retries.excluded()) else {
-            // With few engines, all of them may be excluded.
+            // With few engines, each may have failed once and be excluded.
             if !self.retries.readmit_engines() {
                 return Err(self.no_engine_error());
             }
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -68,7 +68,7 @@
         let headers = response.headers_mut();
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    pending_response.sent();
+    pending_response.complete();
     response
 }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    fn sent(mut self) {
+    fn complete(mut self) {
         self.since = None;
     }
 }
