--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -178,7 +178,7 @@
             })
         }
         Err(_) if call.time_left().is_zero() => Err(AttemptError::DeadlineExceeded),
-        Err(error @ SendError::Broken { .. }) => {
+        Err(error @ SendError::ConnectionFailed { .. }) => {
             Err(AttemptError::ConnectionLost(error.to_string()))
         }
         Err(error) => Err(AttemptError::MayHaveRun(error.to_string())),
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -16,7 +16,7 @@
 use mangofront_engines::{Demand, Failure, NoUpstream, Placement, Share, UpstreamKey, key_of};
 use mangofront_http::Outcome;
 use mangofront_routes::{RetrySafety, Upstream};
-use mangofront_upstream::{Answer, Connections, SendError, Target};
+use mangofront_upstream::{Connections, SendError, Target, UpstreamResponse};
 
 use crate::call::Call;
 use crate::dialect::{AnswerHead, AttemptHead, EventId, Helper};
@@ -55,7 +55,7 @@
 /// The head of an upstream's answer, and what the request holds at that upstream.
 #[derive(Debug)]
 pub(crate) struct AttemptAnswer {
-    pub(crate) answer: Answer,
+    pub(crate) answer: UpstreamResponse,
     pub(crate) placement: Placement,
     pub(crate) upstream: Upstream,
     /// Released when the request no longer uses the memory.
@@ -189,7 +189,7 @@
         is_refusable: history.sent == 0,
         // Requests that must not be repeated always open a new connection.
         connected: match call.route.safety.may_retry() {
-            true => connections.unused(),
+            true => connections.idle_addresses(),
             false => HashSet::new(),
         },
         time_left: call.time_left(),
@@ -297,7 +297,7 @@
     request: Request<Full<Bytes>>,
     head_timeout: Duration,
     history: &mut History,
-) -> Result<Answer, SendError> {
+) -> Result<UpstreamResponse, SendError> {
     let connections = &gateway.parts().connections;
     let target = Target {
         instance: upstream.id.clone(),
@@ -334,9 +334,9 @@
     gateway: &Gateway,
     call: &Call,
     upstream: &Upstream,
-    answer: Answer,
+    answer: UpstreamResponse,
     history: &mut History,
-) -> Result<Answer, AttemptError> {
+) -> Result<UpstreamResponse, AttemptError> {
     let head = gateway
         .parts()
         .dialect
@@ -393,7 +393,9 @@
     match error {
         SendError::Withdrawn { .. } => {}
         SendError::Timeout { .. } => gateway.eject(key, Failure::Silent, &call.id),
-        SendError::Broken { .. } | SendError::Refused { .. } | SendError::Protocol { .. } => {
+        SendError::ConnectionFailed { .. }
+        | SendError::Refused { .. }
+        | SendError::Protocol { .. } => {
             gateway.eject(key, Failure::Unreachable, &call.id);
         }
     }
@@ -404,7 +406,7 @@
         return AttemptError::DeadlineExceeded;
     }
     match error {
-        SendError::Broken { .. } => AttemptError::ConnectionLost(error.to_string()),
+        SendError::ConnectionFailed { .. } => AttemptError::ConnectionLost(error.to_string()),
         _ => AttemptError::MayHaveRun(error.to_string()),
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -193,7 +193,7 @@
     match gateway.parts().connections.open(&target, deadline).await {
         Ok(opened) => {
             compio::time::sleep(SETTLING_TIME).await;
-            match opened.keep() {
+            match opened.return_to_pool() {
                 true => ProbeResult::StaysOpen,
                 false => ProbeResult::Closed,
             }
