--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -6,7 +6,7 @@
 
 use mangofront_settings::check::DocumentKind;
 use mangofront_settings::process::{DaemonSettings, check_daemon_settings};
-use mangofront_settings::published::{Configuration, check_published_as};
+use mangofront_settings::published::{Configuration, check_published_named};
 use pico_args::Arguments;
 
 use crate::error::CliError;
@@ -20,7 +20,9 @@
     let name = path.display().to_string();
     let summary = match kind.unwrap_or_else(|| DocumentKind::guess(&text)) {
         DocumentKind::Settings => summarise_settings(&check_daemon_settings(&name, &text)?),
-        DocumentKind::Configuration => summarise_configuration(&check_published_as(&name, &text)?),
+        DocumentKind::Configuration => {
+            summarise_configuration(&check_published_named(&name, &text)?)
+        }
     };
     output::print(&format!("{name}: {summary}\n"))
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -43,4 +43,4 @@
     CALLS_PER_MINUTE_RELAYED, CALLS_PER_MINUTE_WATCHING, DEFAULT_PLAIN_INTERVAL, DEFAULT_WAIT,
     OnChange, PlatformOptions, PlatformOptionsBuilder, VALUE_LIMIT_BYTES,
 };
-pub use platform::{Platform, Seen};
+pub use platform::{Platform, Revisions};
--- a/crates/configuration/src/pause.rs
+++ b/crates/configuration/src/pause.rs
@@ -30,7 +30,7 @@
 pub(crate) struct Pauses {
     last_beat: Cell<Instant>,
     /// End of the last pause.
-    woke_at: Cell<Option<Instant>>,
+    resumed_at: Cell<Option<Instant>>,
     /// Whether what is in force is older than the last pause.
     is_stale: Cell<bool>,
     refreshed: Waiters,
@@ -40,7 +40,7 @@
     pub(crate) fn new() -> Self {
         Self {
             last_beat: Cell::new(Instant::now()),
-            woke_at: Cell::new(None),
+            resumed_at: Cell::new(None),
             is_stale: Cell::new(false),
             refreshed: Waiters::default(),
         }
@@ -50,16 +50,16 @@
     pub(crate) fn look(&self) {
         let now = Instant::now();
         if now.saturating_duration_since(self.last_beat.get()) > PAUSE {
-            self.woke_at.set(Some(now));
+            self.resumed_at.set(Some(now));
             self.is_stale.set(true);
         }
         self.last_beat.set(now);
     }
 
     /// End of the last pause, if there was one.
-    pub(crate) fn woke_at(&self) -> Option<Instant> {
+    pub(crate) fn resumed_at(&self) -> Option<Instant> {
         self.look();
-        self.woke_at.get()
+        self.resumed_at.get()
     }
 
     /// Waits until nothing is in force from before a pause, but not for long.
@@ -97,7 +97,7 @@
         // A failure is counted where the call is made.
         let _ = futures_util::join!(configuration, instances);
         shared.pauses.look();
-        let is_whole = shared.pauses.woke_at.get().is_none_or(|at| at <= began);
+        let is_whole = shared.pauses.resumed_at.get().is_none_or(|at| at <= began);
         if is_whole {
             break;
         }
--- a/crates/configuration/src/platform.rs
+++ b/crates/configuration/src/platform.rs
@@ -31,7 +31,7 @@
 
 /// Revisions that a waiter has seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Seen {
+pub struct Revisions {
     /// Revision of the configuration, if one was seen.
     pub configuration: Option<Revision>,
     /// Revision of the instance list, if one was seen.
@@ -76,21 +76,21 @@
 
     /// When the process last went on after a pause of more than a second.
     #[must_use]
-    pub fn woke_at(&self) -> Option<Instant> {
-        self.0.shared.pauses.woke_at()
+    pub fn resumed_at(&self) -> Option<Instant> {
+        self.0.shared.pauses.resumed_at()
     }
 
     /// Revisions in force, to be given to [`Self::changed`].
     #[must_use]
-    pub fn seen(&self) -> Seen {
-        self.0.shared.seen()
+    pub fn revisions(&self) -> Revisions {
+        self.0.shared.revisions()
     }
 
     /// Resolves once something newer than `seen` is in force; any number of
     /// tasks may wait.
-    pub async fn changed(&self, seen: Seen) -> Seen {
+    pub async fn changed(&self, seen: Revisions) -> Revisions {
         loop {
-            let now = self.seen();
+            let now = self.revisions();
             if now != seen {
                 return now;
             }
--- a/crates/configuration/src/shared.rs
+++ b/crates/configuration/src/shared.rs
@@ -16,7 +16,7 @@
 use crate::health::{Contact, DocumentHealth, PlatformHealth, millis};
 use crate::options::PlatformOptions;
 use crate::pause::Pauses;
-use crate::platform::Seen;
+use crate::platform::Revisions;
 use crate::service::Answer;
 use crate::verdict::Verdict;
 use crate::waiters::Waiters;
@@ -133,8 +133,8 @@
         (self.options.on_change)(change);
     }
 
-    pub(crate) fn seen(&self) -> Seen {
-        Seen {
+    pub(crate) fn revisions(&self) -> Revisions {
+        Revisions {
             configuration: self.configuration.borrow().revision(),
             instances: self.instances.borrow().revision(),
         }
--- a/crates/configuration/tests/service.rs
+++ b/crates/configuration/tests/service.rs
@@ -14,7 +14,7 @@
     let (platform, changes) = start(options(standin.address));
     until("revision 1", || revision(&platform) == Some(1)).await;
     until("instances", || platform.instances().is_some()).await;
-    let seen = platform.seen();
+    let seen = platform.revisions();
     let waiting = (0..3).map(|_| platform.changed(seen));
     let all = futures_util::future::join_all(waiting);
     let (seen, ()) = futures_util::future::join(all, standin.publish(configuration(200))).await;
--- a/crates/daemon/src/feeds.rs
+++ b/crates/daemon/src/feeds.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use mangofront_configuration::Seen;
+use mangofront_configuration::Revisions;
 use mangofront_placement::EngineInfo;
 use mangofront_settings::instances::{Instance, InstanceRole, InstanceState};
 use mangofront_telemetry::invariants::{Invariant, check};
@@ -15,8 +15,8 @@
 /// Passes on each accepted configuration and instance list, for ever.
 pub(crate) async fn follow_platform(parts: Parts) {
     let engines = EngineTasks::new(parts.clone());
-    let mut seen = parts.platform.seen();
-    let mut in_force = Seen::default();
+    let mut seen = parts.platform.revisions();
+    let mut in_force = Revisions::default();
     loop {
         check_floor(&mut in_force, &parts);
         pass_on_configuration(&parts);
@@ -26,8 +26,8 @@
 }
 
 /// Checks that nothing in force was replaced by an older revision.
-fn check_floor(in_force: &mut Seen, parts: &Parts) {
-    let now = parts.platform.seen();
+fn check_floor(in_force: &mut Revisions, parts: &Parts) {
+    let now = parts.platform.revisions();
     let holds = now.configuration >= in_force.configuration && now.instances >= in_force.instances;
     check(Invariant::ConfigurationFloor, holds, || {
         format!("{in_force:?} was replaced by {now:?}")
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -13,7 +13,7 @@
 use mangofront_placement::{Placement, PlacementOptions, Policy};
 use mangofront_settings::ids::Revision;
 use mangofront_settings::process::DaemonSettings;
-use mangofront_settings::published::check_published_text;
+use mangofront_settings::published::check_published_one_line;
 use mangofront_telemetry::metrics::Metrics;
 use mangofront_upstream::{Connections, ConnectionsOptions};
 
@@ -95,7 +95,7 @@
 fn start_platform(settings: &DaemonSettings, audit: &AuditLog) -> Result<Platform, DaemonError> {
     let audit = audit.clone();
     let options = PlatformOptions::builder(settings.platform_address)
-        .checker(check_published_text)
+        .checker(check_published_one_line)
         .on_change(move |change| {
             if let Some(event) = audit_event(change) {
                 audit.record(event);
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -21,7 +21,7 @@
 
 /// Publishes what this daemon has accepted, each time it changes.
 pub(crate) async fn publish(platform: Platform, peers: Peers) {
-    let mut seen = platform.seen();
+    let mut seen = platform.revisions();
     loop {
         if let Ok(summary) = postcard::to_stdvec(&platform.summary()) {
             let published = peers.publish(Topic::Platform, Bytes::from(summary));
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -86,7 +86,7 @@
 
 /// Waits until a configuration and an instance list are in force.
 async fn wait_for_documents(platform: &Platform) {
-    let mut seen = platform.seen();
+    let mut seen = platform.revisions();
     while seen.configuration.is_none() || seen.instances.is_none() {
         seen = platform.changed(seen).await;
     }
--- a/crates/entry/src/progress.rs
+++ b/crates/entry/src/progress.rs
@@ -68,8 +68,8 @@
     fn drop(&mut self) {
         let metrics = &self.active.entry().parts().metrics;
         metrics.request_ended(&self.class, self.outcome.get());
-        let woke_at = self.active.entry().parts().platform.woke_at();
-        let due = woke_at.map_or(self.deadline, |woke_at| self.deadline.max(woke_at));
+        let resumed_at = self.active.entry().parts().platform.resumed_at();
+        let due = resumed_at.map_or(self.deadline, |resumed_at| self.deadline.max(resumed_at));
         let late = Instant::now().saturating_duration_since(due);
         check(
             Invariant::RequestWithinClassTime,
--- a/crates/gateway/src/published_options.rs
+++ b/crates/gateway/src/published_options.rs
@@ -66,7 +66,7 @@
 impl PublishedOptions {
     /// Times that renew a lease of `key_lease` well before it ends, and have a change
     /// acted on within `change_bound`,
-    /// [`LEAST_CHANGE_BOUND`](mangofront_settings::process::LEAST_CHANGE_BOUND) at least.
+    /// [`MIN_CHANGE_BOUND`](mangofront_settings::process::MIN_CHANGE_BOUND) at least.
     ///
     /// What a daemon that watches tells may be as old as one wait and one late answer, and
     /// the next question comes a period later: together half of the lease, so
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use mangofront_gateway::{EventFramer, PublishedOptions, RetryBudget, RetryLimit};
-use mangofront_settings::process::LEAST_CHANGE_BOUND;
+use mangofront_settings::process::MIN_CHANGE_BOUND;
 use quickcheck::QuickCheck;
 
 /// Events `1..=count` as an upstream sends them.
@@ -146,7 +146,7 @@
 fn a_change_is_acted_on_within_its_bound_whatever_is_set() {
     fn property(lease_ms: u16, bound_ms: u16) -> bool {
         let lease = Duration::from_millis(100 + u64::from(lease_ms));
-        let bound = LEAST_CHANGE_BOUND + Duration::from_millis(u64::from(bound_ms));
+        let bound = MIN_CHANGE_BOUND + Duration::from_millis(u64::from(bound_ms));
         let options = PublishedOptions::for_bounds(lease, bound);
         let is_believed = options.confirmation_age_limit > options.watch_wait;
         is_believed && options.reaction_bound() <= bound && options.lapse_grace < bound
--- a/crates/load/tests/cli.rs
+++ b/crates/load/tests/cli.rs
@@ -10,7 +10,7 @@
 use mangofront_load::answers::AnswerRule;
 use mangofront_load::cli;
 use mangofront_load::report::Report;
-use mangofront_settings::published::check_published_text;
+use mangofront_settings::published::check_published_one_line;
 use pico_args::Arguments;
 
 use support::{Fault, server_by};
@@ -69,7 +69,7 @@
     assert_eq!(load(&line), ExitCode::SUCCESS);
     let text = std::fs::read_to_string(&path).expect("the command wrote it");
     std::fs::remove_file(path).expect("the command wrote it");
-    let configuration = check_published_text(&text).expect("it can be published");
+    let configuration = check_published_one_line(&text).expect("it can be published");
     let class = &configuration.classes["field-diagnosis"];
     assert_eq!(
         (class.time_to_first_token_ms, class.allowed_delay_ms),
--- a/crates/load/tests/scenarios.rs
+++ b/crates/load/tests/scenarios.rs
@@ -6,7 +6,7 @@
 
 use mangofront_load::scenario::{LONG_TOKENS, Scenario};
 use mangofront_load::schedule::{Arrival, Plan, Schedule, Work};
-use mangofront_settings::published::check_published_text;
+use mangofront_settings::published::check_published_one_line;
 use quickcheck::{QuickCheck, TestResult};
 
 const PLAN: Plan = Plan::new(100.0, Duration::from_secs(100));
@@ -35,7 +35,7 @@
     for name in Scenario::embedded() {
         let configuration = Scenario::load(name).unwrap().configuration;
         let text = serde_json::to_string(&configuration).unwrap();
-        assert_eq!(check_published_text(&text).unwrap(), configuration);
+        assert_eq!(check_published_one_line(&text).unwrap(), configuration);
     }
 }
 
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -38,7 +38,7 @@
 
 /// Most faults that one error tells. The place of each is found by a look at
 /// the whole text before it, and a published text may hold very many.
-pub const MOST_FAULTS: usize = 20;
+pub const MAX_REPORTED_FAULTS: usize = 20;
 
 /// Reads `text` by `schema` into its type.
 pub(crate) fn read<T: DeserializeOwned>(
@@ -52,7 +52,7 @@
         return document::deserialize(text).map_err(|fault| CheckError::one(name, text, *fault));
     }
     let total_faults = findings.len();
-    let first = findings.into_iter().take(MOST_FAULTS);
+    let first = findings.into_iter().take(MAX_REPORTED_FAULTS);
     let faults = first
         .map(|finding| Fault::new(text, finding.path, finding.range, finding.problem))
         .collect();
--- a/crates/settings/src/check/fault.rs
+++ b/crates/settings/src/check/fault.rs
@@ -128,9 +128,9 @@
         Self::new(name, text, vec![fault], 1)
     }
 
-    /// The first faults, in the order of the text; at most [`MOST_FAULTS`].
+    /// The first faults, in the order of the text; at most [`MAX_REPORTED_FAULTS`].
     ///
-    /// [`MOST_FAULTS`]: super::MOST_FAULTS
+    /// [`MAX_REPORTED_FAULTS`]: super::MAX_REPORTED_FAULTS
     #[must_use]
     pub fn faults(&self) -> &[Fault] {
         &self.faults
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -19,7 +19,7 @@
 pub use crate::check::SettingsError;
 pub use builder::DaemonSettingsBuilder;
 pub use choice::ChoiceOptions;
-pub use gateway::{GatewaySettings, LEAST_CHANGE_BOUND};
+pub use gateway::{GatewaySettings, MIN_CHANGE_BOUND};
 pub use read::{check_daemon_settings, read_daemon_settings};
 
 use crate::ids::{AvailabilityZone, InstanceId, Region};
--- a/crates/settings/src/process/fields.rs
+++ b/crates/settings/src/process/fields.rs
@@ -6,7 +6,7 @@
 
 use crate::check::shape::{Field, Schema, Shape, TextForm};
 use crate::check::{Finding, Problem};
-use crate::process::LEAST_CHANGE_BOUND;
+use crate::process::MIN_CHANGE_BOUND;
 
 const SECOND_MS: u64 = 1_000;
 const MINUTE_MS: u64 = 60 * SECOND_MS;
@@ -49,11 +49,11 @@
     Field::defaulted("key_lease_ms", between(100, HOUR_MS)),
     Field::defaulted(
         "configuration_bound_ms",
-        between(LEAST_CHANGE_BOUND.as_millis() as u64, HOUR_MS),
+        between(MIN_CHANGE_BOUND.as_millis() as u64, HOUR_MS),
     ),
     Field::defaulted(
         "leaving_bound_ms",
-        between(LEAST_CHANGE_BOUND.as_millis() as u64, HOUR_MS),
+        between(MIN_CHANGE_BOUND.as_millis() as u64, HOUR_MS),
     ),
     Field::defaulted("second_send_ratio", number(0.0, 10.0)),
     Field::defaulted("second_send_slack_requests", number(0.0, 1e6)),
--- a/crates/settings/src/process/gateway.rs
+++ b/crates/settings/src/process/gateway.rs
@@ -58,7 +58,7 @@
 }
 
 /// Shortest bound on a change within which daemons can ask each other and the platform.
-pub const LEAST_CHANGE_BOUND: Duration = Duration::from_millis(1_500);
+pub const MIN_CHANGE_BOUND: Duration = Duration::from_millis(1_500);
 
 const fn default_key_lease_ms() -> u64 {
     5_000
--- a/crates/settings/src/published.rs
+++ b/crates/settings/src/published.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use check::{check_published, check_published_as, check_published_text};
+pub use check::{check_published, check_published_named, check_published_one_line};
 
 use crate::ids::{ClassName, ModelName, OrganisationId, ServiceName};
 
--- a/crates/settings/src/published/check.rs
+++ b/crates/settings/src/published/check.rs
@@ -12,14 +12,14 @@
 /// # Errors
 /// [`CheckError`] with the place of every fault; it is a miette diagnostic.
 pub fn check_published(text: &str) -> Result<Configuration, CheckError> {
-    check_published_as(PUBLISHED_NAME, text)
+    check_published_named(PUBLISHED_NAME, text)
 }
 
 /// Checks a published configuration; `name` stands for the text in the error.
 ///
 /// # Errors
 /// [`CheckError`] with the place of every fault.
-pub fn check_published_as(name: &str, text: &str) -> Result<Configuration, CheckError> {
+pub fn check_published_named(name: &str, text: &str) -> Result<Configuration, CheckError> {
     check::read(name, text, &SCHEMA)
 }
 
@@ -27,6 +27,6 @@
 ///
 /// # Errors
 /// The first fault with its line and column, in one line.
-pub fn check_published_text(text: &str) -> Result<Configuration, String> {
+pub fn check_published_one_line(text: &str) -> Result<Configuration, String> {
     check_published(text).map_err(|error| error.one_line())
 }
--- a/crates/settings/tests/documents.rs
+++ b/crates/settings/tests/documents.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-use mangofront_settings::check::{DocumentKind, MOST_FAULTS, SettingsError, parse_value};
+use mangofront_settings::check::{DocumentKind, MAX_REPORTED_FAULTS, SettingsError, parse_value};
 use mangofront_settings::process::{
     DaemonSettings, Limits, LogSettings, PeerSettings, check_daemon_settings, read_daemon_settings,
 };
-use mangofront_settings::published::{Configuration, check_published, check_published_text};
+use mangofront_settings::published::{Configuration, check_published, check_published_one_line};
 use quickcheck::{QuickCheck, TestResult};
 use serde_json::Value;
 
@@ -84,9 +84,12 @@
     assert_eq!(check_daemon_settings("a", &text).expect("good"), settings);
     let configuration = check_published(CONFIGURATION).expect("good");
     let text = serde_json::to_string(&configuration).expect("configuration is JSON");
-    assert_eq!(check_published_text(&text), Ok(configuration));
+    assert_eq!(check_published_one_line(&text), Ok(configuration));
     let empty = serde_json::to_string(&Configuration::default()).expect("JSON");
-    assert_eq!(check_published_text(&empty), Ok(Configuration::default()));
+    assert_eq!(
+        check_published_one_line(&empty),
+        Ok(Configuration::default())
+    );
 }
 
 #[test]
@@ -156,13 +159,13 @@
     let keys: Vec<_> = (0..100_000).map(|n| format!("\"k{n}\":0")).collect();
     let text = format!("{{{}}}", keys.join(",\n"));
     let error = check_published(&text).expect_err("broken");
-    assert_eq!(error.faults().len(), MOST_FAULTS);
+    assert_eq!(error.faults().len(), MAX_REPORTED_FAULTS);
     assert_eq!(
         error.to_string(),
         "configuration: 100002 faults, the first 20 of them"
     );
     let long = format!("{{\"classes\": {{\"{}\": 1}}}}", "x".repeat(1_000_000));
-    assert!(check_published_text(&long).expect_err("broken").len() < 500);
+    assert!(check_published_one_line(&long).expect_err("broken").len() < 500);
 }
 
 #[test]
--- a/crates/settings/tests/reports.rs
+++ b/crates/settings/tests/reports.rs
@@ -2,7 +2,7 @@
 
 use mangofront_settings::check::CheckError;
 use mangofront_settings::process::check_daemon_settings;
-use mangofront_settings::published::{check_published, check_published_text};
+use mangofront_settings::published::{check_published, check_published_one_line};
 use miette::{GraphicalReportHandler, GraphicalTheme};
 
 const WIDTH: usize = 80;
@@ -154,7 +154,7 @@
 #[test]
 fn one_line_for_the_audit_trail() {
     let text = "{\"classes\": {\"a\\nb\": {\"weight\": 2}}, \"organisations\": {}}";
-    let reason = check_published_text(text).expect_err("broken");
+    let reason = check_published_one_line(text).expect_err("broken");
     assert!(!reason.contains('\n'));
     insta::assert_snapshot!(reason);
 }
