--- a/crates/settings/fuzz/fuzz_targets/settings.rs
+++ b/crates/settings/fuzz/fuzz_targets/settings.rs
@@ -1,4 +1,6 @@
-//! Any text as a daemon's settings: never a panic; good ones read back alike.
+//! Checks arbitrary text as a daemon's settings: no input panics, valid settings parse to
+//! the same value after serialisation, and an error lists a fault and formats as one
+//! line.
 
 #![no_main]
 
@@ -8,9 +10,9 @@
 fuzz_target!(|text: &str| {
     match check_daemon_settings("fuzz", text) {
         Ok(settings) => {
-            let written = serde_json::to_string(&settings).expect("settings are JSON");
-            let read = check_daemon_settings("fuzz", &written).expect("good again");
-            assert_eq!(read, settings);
+            let serialised = serde_json::to_string(&settings).expect("settings are JSON");
+            let parsed = check_daemon_settings("fuzz", &serialised).expect("good again");
+            assert_eq!(parsed, settings);
         }
         Err(error) => {
             assert!(!error.faults().is_empty());
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,19 +1,18 @@
-//! Checks of a document, with the place of every fault.
+//! Validation of a document, with the location of every fault.
 //!
-//! A document is parsed once with the range of every value. A table of its
-//! fields (`shape`) is walked along with it (`walk`), which finds every
-//! fault at once and in the order of the text. Only a document without a fault
-//! is handed to serde, so serde's own errors, which know less of the place,
-//! are a last resort. The tables and the structs can't drift apart unseen:
-//! the structs deny unknown fields, and the tests load an example with every
-//! field.
+//! A document is parsed into a syntax tree with the source range of every value.
+//! The tree is validated (`validate`) against a schema table (`shape`), which
+//! finds all faults at once; they are reported in text order. Only a document without
+//! faults is deserialised by serde, whose own errors locate a fault less precisely. Schema tables and
+//! structs are kept consistent: the structs deny unknown fields, and the tests
+//! load an example document that contains every field.
 
 mod document;
 mod fault;
 mod hint;
 mod problem;
 pub(crate) mod shape;
-mod walk;
+mod validate;
 
 use jsonc_parser::ast::{Object, Value};
 use serde::de::DeserializeOwned;
@@ -25,7 +24,7 @@
 
 use shape::Schema;
 
-/// What a rule across several fields found.
+/// Problem with its path and source range; line and column are computed later.
 #[derive(Debug)]
 pub(crate) struct Finding {
     pub(crate) path: String,
@@ -33,23 +32,24 @@
     pub(crate) problem: Problem,
 }
 
-/// Rule across several fields of a document whose shape is right.
+/// Rule across several fields; applied only if every field on its own is valid.
 pub(crate) type Rule = fn(&Object<'_>, &mut Vec<Finding>);
 
-/// Most faults that one error tells. The place of each is found by a look at
-/// the whole text before it, and a published text may hold very many.
+/// Maximum number of faults that one error reports. Computing the location of a
+/// fault scans all text before it, and a published document may contain very many
+/// faults.
 pub const MAX_REPORTED_FAULTS: usize = 20;
 
-/// Reads `text` by `schema` into its type.
+/// Validates `text` against `schema` and deserialises it.
 pub(crate) fn read<T: DeserializeOwned>(
     name: &str,
     text: &str,
     schema: &Schema,
 ) -> Result<T, CheckError> {
-    let root = document::parse(text).map_err(|fault| CheckError::one(name, text, *fault))?;
+    let root = document::parse(text).map_err(|fault| CheckError::single(name, text, *fault))?;
     let findings = findings(&root, schema);
     if findings.is_empty() {
-        return document::deserialize(text).map_err(|fault| CheckError::one(name, text, *fault));
+        return document::deserialize(text).map_err(|fault| CheckError::single(name, text, *fault));
     }
     let total_faults = findings.len();
     let first = findings.into_iter().take(MAX_REPORTED_FAULTS);
@@ -60,7 +60,7 @@
 }
 
 fn findings(root: &Value<'_>, schema: &Schema) -> Vec<Finding> {
-    let mut findings = walk::walk(root, schema);
+    let mut findings = validate::validate(root, schema);
     if let (true, Some(object)) = (findings.is_empty(), root.as_object()) {
         for rule in schema.rules {
             rule(object, &mut findings);
--- a/crates/settings/src/check/document.rs
+++ b/crates/settings/src/check/document.rs
@@ -1,7 +1,7 @@
 //! Parsing of JSON with comments.
 //!
-//! Comments and trailing commas are allowed; everything else is plain JSON, so
-//! that a document means the same to every tool that reads it.
+//! Comments and trailing commas are allowed, everything else is strict JSON, so
+//! that every tool that reads a document interprets it in the same way.
 
 use jsonc_parser::ast::Value;
 use jsonc_parser::common::Range;
@@ -12,10 +12,10 @@
 use super::fault::{CheckError, Fault};
 use super::problem::Problem;
 
-/// Keys that only a published configuration has at its top.
+/// Top-level keys that only a published configuration has.
 const CONFIGURATION_KEYS: [&str; 4] = ["classes", "organisations", "models", "services"];
 
-/// Which of the two documents a text is.
+/// Kind of a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DocumentKind {
     /// Settings of a daemon.
@@ -25,7 +25,8 @@
 }
 
 impl DocumentKind {
-    /// Tells the kind by the keys at the top of `text`; settings when in doubt.
+    /// Detects the kind from the top-level keys of `text`; returns
+    /// [`Self::Settings`] if `text` can't be parsed or has none of them.
     #[must_use]
     pub fn guess(text: &str) -> Self {
         let Ok(Value::Object(object)) = parse(text) else {
@@ -40,19 +41,20 @@
     }
 }
 
-/// Parses `text` without a schema; `name` stands for it in the error.
+/// Parses `text` without a schema; `name` identifies it in the error.
 ///
 /// # Errors
-/// [`CheckError`] with the place of the fault when `text` is not JSON with
+/// [`CheckError`] with the location of the fault if `text` is not JSON with
 /// comments.
 pub fn parse_value(name: &str, text: &str) -> Result<serde_json::Value, CheckError> {
-    // The tree is parsed first because only that parser bounds the nesting.
+    // The syntax tree is parsed first because only that parser limits the nesting
+    // depth.
     parse(text)
         .and_then(|_| deserialize(text))
-        .map_err(|fault| CheckError::one(name, text, *fault))
+        .map_err(|fault| CheckError::single(name, text, *fault))
 }
 
-/// Parses `text` into a tree with ranges.
+/// Parses `text` into a syntax tree with source ranges.
 pub(super) fn parse(text: &str) -> Result<Value<'_>, Box<Fault>> {
     let parsed = parse_to_ast(text, &CollectOptions::default(), &options())
         .map_err(|error| syntax_fault(text, &error))?;
@@ -62,14 +64,14 @@
     })
 }
 
-/// Reads `text`, already parsed once, into a type.
+/// Deserialises `text`, for which [`parse`] has already succeeded.
 pub(super) fn deserialize<T: DeserializeOwned>(text: &str) -> Result<T, Box<Fault>> {
     parse_to_serde_value(text, &options()).map_err(|error| syntax_fault(text, &error))
 }
 
 fn syntax_fault(text: &str, error: &ParseError) -> Box<Fault> {
     let problem = match error.kind() {
-        ParseErrorKind::Custom(message) => Problem::Unfit(message.clone()),
+        ParseErrorKind::Custom(message) => Problem::InvalidValue(message.clone()),
         kind => Problem::Syntax(kind.to_string()),
     };
     Box::new(Fault::new(text, String::new(), error.range(), problem))
--- a/crates/settings/src/check/fault.rs
+++ b/crates/settings/src/check/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a document and the reports made of them.
+//! Faults of a document and the error that reports them.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -9,23 +9,25 @@
 
 use super::problem::Problem;
 
-/// Longest line that a report quotes, in bytes. A published text is often one
-/// line of up to a megabyte, which would bury the fault.
-const LONGEST_QUOTED_LINE_BYTES: usize = 240;
+/// Maximum length of a line that a report quotes, in bytes. A published document
+/// is often a single line of up to a megabyte, in which the fault would be lost.
+const MAX_QUOTED_LINE_BYTES: usize = 240;
 
-/// One fault and its place.
+/// One fault of a document and its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Keys down to the value at fault, joined by dots; empty at the top.
+    /// Keys from the top level down to the faulty value, joined by dots; empty at
+    /// the top level.
     pub path: String,
-    /// Line at fault, from 1.
+    /// Line of the fault, counted from 1.
     pub line: usize,
-    /// Column at fault in characters, from 1.
+    /// Column of the fault in characters, counted from 1.
     pub column: usize,
-    /// What is wrong.
+    /// Problem at this location.
     pub problem: Problem,
-    /// What a report quotes, within one line; `None` when the lines around are
-    /// too long to be quoted, and the place is told in words.
+    /// Source range that a report quotes, within one line; `None` if the
+    /// surrounding lines are too long to quote, in which case the message states
+    /// line and column instead.
     span: Option<SourceSpan>,
 }
 
@@ -48,34 +50,34 @@
         }
     }
 
-    /// What is wrong, without the place in the text.
-    fn sentence(&self) -> String {
+    /// Path and problem, without line and column.
+    fn message(&self) -> String {
         if self.path.is_empty() {
             return self.problem.to_string();
         }
         format!("{}: {}", self.path, self.problem)
     }
 
-    fn place(&self) -> String {
+    fn location(&self) -> String {
         format!("line {}, column {}", self.line, self.column)
     }
 }
 
-/// Whether a line and those before and after it are short, since a report
-/// quotes all three.
+/// Whether a line and the lines before and after it are short enough to quote; a
+/// report quotes all three.
 fn is_quotable(text: &str, line_start: usize, line_end: usize) -> bool {
     let before = text[..line_start].lines().next_back();
     let after = text[line_end..].lines().nth(1);
-    let around = before.into_iter().chain(after).map(str::len);
-    let longest = around.max().unwrap_or(0).max(line_end - line_start);
-    longest <= LONGEST_QUOTED_LINE_BYTES
+    let neighbours = before.into_iter().chain(after).map(str::len);
+    let longest = neighbours.max().unwrap_or(0).max(line_end - line_start);
+    longest <= MAX_QUOTED_LINE_BYTES
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.span {
-            Some(_) => write!(f, "{}", self.sentence()),
-            None => write!(f, "{}: {}", self.place(), self.sentence()),
+            Some(_) => write!(f, "{}", self.message()),
+            None => write!(f, "{}: {}", self.location(), self.message()),
         }
     }
 }
@@ -94,9 +96,9 @@
     }
 }
 
-/// Document with at least one fault, in the order of the text.
+/// Error for a document with at least one fault; faults are in text order.
 #[derive(Debug, Error, Diagnostic)]
-#[error("{}: {}", .text.name(), count_faults(.faults.len(), *.total_faults))]
+#[error("{}: {}", .text.name(), describe_count(.faults.len(), *.total_faults))]
 pub struct CheckError {
     #[source_code]
     text: NamedSource<String>,
@@ -105,7 +107,7 @@
     total_faults: usize,
 }
 
-fn count_faults(shown: usize, total: usize) -> String {
+fn describe_count(shown: usize, total: usize) -> String {
     match total {
         1 => "1 fault".to_owned(),
         _ if shown < total => format!("{total} faults, the first {shown} of them"),
@@ -114,7 +116,7 @@
 }
 
 impl CheckError {
-    /// An error of the first of `total_faults` faults.
+    /// Creates an error that lists `faults`, the first of `total_faults`.
     pub(super) fn new(name: &str, text: &str, faults: Vec<Fault>, total_faults: usize) -> Self {
         Self {
             text: NamedSource::new(name, text.to_owned()),
@@ -123,12 +125,12 @@
         }
     }
 
-    /// An error of one fault.
-    pub(super) fn one(name: &str, text: &str, fault: Fault) -> Self {
+    /// Creates an error with a single fault.
+    pub(super) fn single(name: &str, text: &str, fault: Fault) -> Self {
         Self::new(name, text, vec![fault], 1)
     }
 
-    /// The first faults, in the order of the text; at most [`MAX_REPORTED_FAULTS`].
+    /// The first faults in text order, at most [`MAX_REPORTED_FAULTS`].
     ///
     /// [`MAX_REPORTED_FAULTS`]: super::MAX_REPORTED_FAULTS
     #[must_use]
@@ -136,7 +138,7 @@
         &self.faults
     }
 
-    /// The first fault with its place and help, in one line.
+    /// Formats the first fault, its location and help text in one line.
     #[must_use]
     pub fn one_line(&self) -> String {
         let Some(fault) = self.faults.first() else {
@@ -148,24 +150,24 @@
             0 => String::new(),
             more => format!("; {more} more"),
         };
-        let line = format!("{}: {}{help}{more}", fault.place(), fault.sentence());
-        // Quotations are escaped already; a library's message might not be.
+        let line = format!("{}: {}{help}{more}", fault.location(), fault.message());
+        // Quotations are already escaped; a message from a library might not be.
         line.replace(char::is_control, " ")
     }
 }
 
-/// Settings file that gave no settings.
+/// Reason why a settings file could not be loaded.
 #[derive(Debug, Error, Diagnostic)]
 pub enum SettingsError {
-    /// File that could not be opened or is no text.
+    /// The file can't be opened or is not UTF-8.
     #[error("settings: {} can't be read: {cause}", path.display())]
     Unreadable {
-        /// Path as it was given.
+        /// Path as given by the caller.
         path: PathBuf,
-        /// What the system said.
+        /// Error from the operating system.
         cause: std::io::Error,
     },
-    /// Document with at least one fault.
+    /// The document has at least one fault.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Faulty(#[from] CheckError),
--- a/crates/settings/src/check/hint.rs
+++ b/crates/settings/src/check/hint.rs
@@ -1,9 +1,9 @@
-//! Guesses at what a wrong key was meant to be.
+//! Suggestions for unknown keys.
 
 use super::problem::{Problem, quote};
 use super::shape::Field;
 
-/// Units that end a key, with their names.
+/// Unit suffixes of keys, with the names of the units.
 const UNITS: [(&str, &str); 6] = [
     ("_ms", "milliseconds"),
     ("_bytes", "bytes"),
@@ -13,8 +13,8 @@
     ("_links", "links"),
 ];
 
-/// Endings that people write for another unit.
-const OTHER_UNITS: [&str; 25] = [
+/// Unit suffixes that no key has, but that a document may use by mistake.
+const UNSUPPORTED_UNITS: [&str; 25] = [
     "_s",
     "_sec",
     "_secs",
@@ -42,8 +42,8 @@
     "_count",
 ];
 
-/// Words by which people try to steer single upstreams.
-const STEERING_WORDS: [&str; 14] = [
+/// Words in keys with which a document tries to control individual upstreams.
+const UPSTREAM_CONTROL_WORDS: [&str; 14] = [
     "weight",
     "weights",
     "priority",
@@ -60,20 +60,20 @@
     "upstreams",
 ];
 
-/// Least likeness of two keys that are taken for one another.
-const LEAST_LIKENESS: f64 = 0.75;
+/// Similarity from which on a known key is suggested for an unknown one, from 0 to 1.
+const MIN_SIMILARITY: f64 = 0.75;
 
-/// Names the problem with `key` in a section that has `fields`.
-pub(super) fn unknown_key(key: &str, fields: &[Field], guard_steering: bool) -> Problem {
-    if let Some(right) = wrong_unit(key, fields) {
+/// Returns the problem with `key`, which is none of `fields`.
+pub(super) fn unknown_key(key: &str, fields: &[Field], forbids_upstream_keys: bool) -> Problem {
+    if let Some(expected_key) = wrong_unit(key, fields) {
         return Problem::WrongUnit {
             key: quote(key),
-            right,
-            unit: unit_of(right),
+            expected_key,
+            unit: unit_of(expected_key),
         };
     }
-    if guard_steering && is_steering(key) {
-        return Problem::Steering { key: quote(key) };
+    if forbids_upstream_keys && controls_upstreams(key) {
+        return Problem::ForbiddenKey { key: quote(key) };
     }
     Problem::UnknownKey {
         key: quote(key),
@@ -82,7 +82,7 @@
     }
 }
 
-/// Name of the unit that `key` ends with, empty without one.
+/// Name of the unit in the suffix of `key`; empty if it has none.
 pub(super) fn unit_of(key: &str) -> &'static str {
     UNITS
         .iter()
@@ -91,28 +91,28 @@
 }
 
 fn wrong_unit(key: &str, fields: &[Field]) -> Option<&'static str> {
-    let written = stem(key);
+    let base_name = without_unit(key);
     let field = fields.iter().find(|field| {
         let own = UNITS
             .iter()
             .find_map(|(ending, _)| field.name.strip_suffix(ending));
-        own == Some(written)
+        own == Some(base_name)
     })?;
     Some(field.name)
 }
 
-/// `key` without its unit, or whole when it has none.
-fn stem(key: &str) -> &str {
+/// `key` without its unit suffix, if it has one.
+fn without_unit(key: &str) -> &str {
     let own = UNITS.iter().map(|(ending, _)| *ending);
-    own.chain(OTHER_UNITS)
+    own.chain(UNSUPPORTED_UNITS)
         .find_map(|ending| key.strip_suffix(ending))
         .unwrap_or(key)
 }
 
-fn is_steering(key: &str) -> bool {
+fn controls_upstreams(key: &str) -> bool {
     let key = key.to_ascii_lowercase();
     key.split(['_', '-'])
-        .any(|word| STEERING_WORDS.contains(&word))
+        .any(|word| UPSTREAM_CONTROL_WORDS.contains(&word))
 }
 
 fn nearest(key: &str, fields: &[Field]) -> Option<&'static str> {
@@ -124,7 +124,7 @@
                 field.name,
             )
         })
-        .filter(|(likeness, _)| *likeness >= LEAST_LIKENESS)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|left, right| left.0.total_cmp(&right.0))
         .map(|(_, name)| name)
 }
--- a/crates/settings/src/check/problem.rs
+++ b/crates/settings/src/check/problem.rs
@@ -1,30 +1,31 @@
-//! What can be wrong in a document, in words.
+//! Problems that a document can have, with their messages and help texts.
 
 use thiserror::Error;
 
-/// Longest quotation from a document in a message, in characters.
-const LONGEST_QUOTE_CHARS: usize = 64;
+/// Maximum length of a quotation from a document in a message, in characters.
+const MAX_QUOTE_CHARS: usize = 64;
 
-/// Most names that a help lists.
-const MOST_NAMES: usize = 16;
+/// Maximum number of names that a help text lists.
+const MAX_LISTED_NAMES: usize = 16;
 
-/// `text` as a message quotes it: cut, and with control characters escaped,
-/// since a published text may hold a value of any length and content.
+/// Prepares `text` for quotation in a message: truncated, and with control
+/// characters escaped, because a published document may contain values of any
+/// length and content.
 pub(crate) fn quote(text: &str) -> String {
-    let mut quoted: String = text.chars().take(LONGEST_QUOTE_CHARS).collect();
+    let mut quoted: String = text.chars().take(MAX_QUOTE_CHARS).collect();
     if quoted.len() < text.len() {
         quoted.push('…');
     }
     quoted.escape_debug().to_string()
 }
 
-fn list<T: AsRef<str>>(names: &[T]) -> String {
+fn list_names<T: AsRef<str>>(names: &[T]) -> String {
     let shown: Vec<_> = names
         .iter()
-        .take(MOST_NAMES)
+        .take(MAX_LISTED_NAMES)
         .map(|name| quote(name.as_ref()))
         .collect();
-    let more = if names.len() > MOST_NAMES {
+    let more = if names.len() > MAX_LISTED_NAMES {
         ", …"
     } else {
         ""
@@ -32,64 +33,64 @@
     format!("{}{more}", shown.join(", "))
 }
 
-/// What is wrong at one place of a document.
+/// Problem at one location of a document.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Problem {
     /// Text that is not JSON with comments.
     #[error("syntax error: {0}")]
     Syntax(String),
-    /// Text without any value.
+    /// Text that contains no value.
     #[error("the document is empty")]
     Empty,
-    /// Value that the type behind it doesn't take.
+    /// Value that serde could not deserialise into its type.
     #[error("{0}")]
-    Unfit(String),
-    /// Key that the section doesn't have.
+    InvalidValue(String),
+    /// Key that the object doesn't define.
     #[error("unknown key `{key}`")]
     UnknownKey {
         /// Key as written.
         key: String,
-        /// Key that was probably meant.
+        /// Most similar known key, if one is similar enough.
         nearest: Option<&'static str>,
-        /// Every key of the section.
+        /// Every key that the object defines.
         known: Vec<&'static str>,
     },
-    /// Key by which nobody may steer.
+    /// Key that would control individual upstreams, which no document may do.
     #[error("`{key}` can't be configured")]
-    Steering {
+    ForbiddenKey {
         /// Key as written.
         key: String,
     },
-    /// Known key with another unit.
+    /// Known key written with another unit.
     #[error("wrong unit in `{key}`")]
     WrongUnit {
         /// Key as written.
         key: String,
         /// Key to use.
-        right: &'static str,
+        expected_key: &'static str,
         /// Unit of that key.
         unit: &'static str,
     },
-    /// Key given twice in one section.
+    /// Key that occurs twice in one object.
     #[error("key `{key}` is given twice")]
     DuplicateKey {
         /// Key as written.
         key: String,
     },
-    /// Key that a section must have.
+    /// Required key that is missing.
     #[error("missing key `{key}`")]
     MissingKey {
-        /// Key that is missing.
+        /// Name of the key.
         key: &'static str,
-        /// What its value is.
+        /// Description of its value.
         expected: String,
     },
     /// Value of another type.
     #[error("wrong type: expected {expected}, found {found}")]
     WrongType {
-        /// What the key takes.
+        /// Description of the expected value.
         expected: String,
-        /// What was given.
+        /// Type of the value found.
         found: &'static str,
     },
     /// Number outside its range.
@@ -97,79 +98,81 @@
     OutOfRange {
         /// Number as written.
         found: String,
-        /// Least value.
+        /// Minimum value.
         min: u64,
-        /// Greatest value.
+        /// Maximum value.
         max: u64,
-        /// Unit of the value, empty for a plain number.
+        /// Unit of the value; empty if it has none.
         unit: &'static str,
     },
-    /// String that is none of a closed set.
+    /// String that is not in the set of allowed values.
     #[error("unknown value `{found}`")]
     UnknownChoice {
         /// String as written.
         found: String,
-        /// Every value of the set.
+        /// Every allowed value.
         known: &'static [&'static str],
     },
-    /// String of the wrong form.
+    /// String in the wrong format.
     #[error("`{found}` is not {expected}")]
-    WrongForm {
+    WrongFormat {
         /// String as written.
         found: String,
-        /// Form it must have.
+        /// Description of the expected format.
         expected: &'static str,
     },
-    /// Reference to a class that the document doesn't have.
+    /// Reference to a class that the document doesn't define.
     #[error("class `{class}` doesn't exist")]
     UnknownClass {
         /// Class as written.
         class: String,
-        /// Every class of the document, by name.
+        /// Name of every class in the document.
         known: Vec<String>,
     },
-    /// Value that another one excludes.
+    /// Value that contradicts another one.
     #[error("{what}")]
     Conflict {
-        /// What excludes what.
+        /// Description of the contradiction.
         what: String,
-        /// What to do.
+        /// How to resolve it.
         help: &'static str,
     },
 }
 
 impl Problem {
-    /// What to do about it, when that can be told.
+    /// Advice on how to fix the problem, if there is any.
     pub(super) fn help(&self) -> Option<String> {
         match self {
             Self::UnknownKey {
                 nearest: Some(nearest),
                 ..
             } => Some(format!("did you mean `{nearest}`?")),
-            Self::UnknownKey { known, .. } => Some(format!("keys here: {}", list(known))),
-            Self::Steering { .. } => Some(
+            Self::UnknownKey { known, .. } => Some(format!("keys here: {}", list_names(known))),
+            Self::ForbiddenKey { .. } => Some(
                 "operators steer by the targets of classes only: weights, priorities, \
                  instances and addresses are the system's own matter"
                     .to_owned(),
             ),
-            Self::WrongUnit { right, unit, .. } => Some(format!("use `{right}`, in {unit}")),
+            Self::WrongUnit {
+                expected_key, unit, ..
+            } => Some(format!("use `{expected_key}`, in {unit}")),
             Self::DuplicateKey { .. } => Some("keep one of the two".to_owned()),
             Self::MissingKey { key, expected } => Some(format!("add `{key}`: {expected}")),
             Self::OutOfRange {
                 min, max, unit: "", ..
             } => Some(format!("from {min} to {max}")),
             Self::OutOfRange { min, max, unit, .. } => Some(format!("from {min} to {max} {unit}")),
-            Self::UnknownChoice { known, .. } => Some(format!("one of: {}", list(known))),
+            Self::UnknownChoice { known, .. } => Some(format!("one of: {}", list_names(known))),
             Self::UnknownClass { known, .. } if known.is_empty() => {
                 Some("the document has no class".to_owned())
             }
-            Self::UnknownClass { known, .. } => Some(format!("classes: {}", list(known))),
+            Self::UnknownClass { known, .. } => Some(format!("classes: {}", list_names(known))),
             Self::Conflict { help, .. } => Some((*help).to_owned()),
             Self::Syntax(_)
             | Self::Empty
-            | Self::Unfit(_)
+            | Self::InvalidValue(_)
             | Self::WrongType { .. }
-            | Self::WrongForm { .. } => None,
+            | Self::WrongFormat { .. } => None,
         }
     }
 }
--- a/crates/settings/src/check/shape.rs
+++ b/crates/settings/src/check/shape.rs
@@ -1,55 +1,56 @@
-//! Tables of what a document may hold.
+//! Types of the schema tables that describe a document.
 
 use super::Rule;
 
-/// A whole kind of document.
+/// Schema of one kind of document.
 #[derive(Debug)]
 pub(crate) struct Schema {
-    /// Keys at the top.
+    /// Top-level keys.
     pub(crate) fields: &'static [Field],
-    /// Whether keys that steer single upstreams get their own answer.
-    pub(crate) guard_steering: bool,
-    /// Rules across fields, tried once the shape is right.
+    /// Whether unknown keys that would control individual upstreams are reported
+    /// as [`Problem::ForbiddenKey`](super::Problem::ForbiddenKey).
+    pub(crate) forbids_upstream_keys: bool,
+    /// Rules across fields, applied only if every field on its own is valid.
     pub(crate) rules: &'static [Rule],
 }
 
-/// One key of a section.
+/// One key of an object.
 #[derive(Debug)]
 pub(crate) struct Field {
     /// Key, with its unit as a suffix.
     pub(crate) name: &'static str,
-    /// What its value is.
+    /// Type and range of its value.
     pub(crate) shape: Shape,
-    /// Whether it must, may, or may also be null.
+    /// Whether it may be missing or null.
     pub(crate) presence: Presence,
 }
 
-/// Whether a key must be there.
+/// Whether a key may be missing or null.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Presence {
-    /// Must be there.
+    /// Must be present.
     Required,
-    /// Has a default.
+    /// May be missing and has a default; may not be null.
     Defaulted,
-    /// May be missing or null, which mean the same.
+    /// May be missing or null; both mean the same.
     Optional,
 }
 
-/// What a value is.
+/// Type and range of a value.
 #[derive(Debug)]
 pub(crate) enum Shape {
-    /// String of a form.
-    Text(TextForm),
+    /// String in a given format.
+    Text(TextFormat),
     /// String that is an IP address with a port.
     Address,
-    /// Whole number within a range, both ends included.
+    /// Integer within an inclusive range.
     Integer {
         /// Least value.
         min: u64,
         /// Greatest value.
         max: u64,
     },
-    /// Number with or without a fraction, within a range, both ends included.
+    /// Number, possibly with a fraction, within an inclusive range.
     Number {
         /// Least value.
         min: f64,
@@ -58,36 +59,36 @@
     },
     /// `true` or `false`.
     Boolean,
-    /// String of a closed set.
+    /// String from a set of allowed values.
     Choice(&'static [&'static str]),
-    /// Section with fixed keys.
+    /// Object with fixed keys.
     Object(&'static [Field]),
-    /// Section with names as keys.
+    /// Object whose keys are names.
     Map {
-        /// Form of the names.
-        names: TextForm,
-        /// What each value is.
+        /// Format of the names.
+        names: TextFormat,
+        /// Type and range of each value.
         value: &'static Shape,
     },
-    /// Array.
+    /// Array whose elements all have the same shape.
     List(&'static Shape),
 }
 
-/// Form of a string.
+/// Format of a string.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum TextForm {
-    /// Name that can stand in a header and as one part of a path.
+pub(crate) enum TextFormat {
+    /// Name that is valid in a header and as one segment of a path.
     Name,
-    /// Name of a model, an adapter or a version; may have parts.
+    /// Name of a model, an adapter or a version; may contain `:` and `/`.
     ModelName,
     /// HTTP method.
     Method,
-    /// Start of a path.
+    /// Prefix of a path.
     PathPrefix,
 }
 
-/// Longest name, in bytes.
-const LONGEST_NAME_BYTES: usize = 128;
+/// Maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 128;
 
 impl Field {
     pub(crate) const fn required(name: &'static str, shape: Shape) -> Self {
@@ -116,10 +117,10 @@
 }
 
 impl Shape {
-    /// What a person calls such a value.
+    /// Describes such a value for an error message.
     pub(crate) fn describe(&self) -> String {
         match self {
-            Self::Text(form) => format!("a string, {}", form.describe()),
+            Self::Text(format) => format!("a string, {}", format.describe()),
             Self::Address => "a string, IP address and port".to_owned(),
             Self::Integer { .. } => "a whole number".to_owned(),
             Self::Number { .. } => "a number".to_owned(),
@@ -131,8 +132,8 @@
     }
 }
 
-impl TextForm {
-    /// What a person calls such a string.
+impl TextFormat {
+    /// Describes such a string for an error message.
     pub(crate) fn describe(self) -> &'static str {
         match self {
             Self::Name => "a name of 1 to 128 letters, digits, `-`, `_` and `.`",
@@ -142,8 +143,8 @@
         }
     }
 
-    /// Whether `text` has the form.
-    pub(crate) fn admits(self, text: &str) -> bool {
+    /// Whether `text` has this format.
+    pub(crate) fn matches(self, text: &str) -> bool {
         match self {
             Self::Name => is_name(text, "-_."),
             Self::ModelName => is_name(text, "-_.:/"),
@@ -157,8 +158,8 @@
     }
 }
 
-fn is_name(text: &str, marks: &str) -> bool {
-    let known = |letter: char| letter.is_ascii_alphanumeric() || marks.contains(letter);
-    let begins_well = text.starts_with(|letter: char| letter.is_ascii_alphanumeric());
-    begins_well && text.len() <= LONGEST_NAME_BYTES && text.chars().all(known)
+fn is_name(text: &str, punctuation: &str) -> bool {
+    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || punctuation.contains(letter);
+    let starts_alphanumeric = text.starts_with(|letter: char| letter.is_ascii_alphanumeric());
+    starts_alphanumeric && text.len() <= MAX_NAME_BYTES && text.chars().all(is_allowed)
 }
--- a/crates/settings/src/check/walk.rs
+++ b/crates/settings/src/check/validate.rs
@@ -1,4 +1,4 @@
-//! The walk along a document and its table.
+//! Validation of a parsed document against its schema.
 
 use std::net::SocketAddr;
 
@@ -8,27 +8,27 @@
 use super::Finding;
 use super::hint;
 use super::problem::{Problem, quote};
-use super::shape::{Field, Presence, Schema, Shape, TextForm};
+use super::shape::{Field, Presence, Schema, Shape, TextFormat};
 
-/// Finds every fault of `root` by `schema`.
-pub(super) fn walk(root: &Value<'_>, schema: &Schema) -> Vec<Finding> {
-    let mut walk = Walk {
+/// Returns every problem of `root` under `schema`, in no particular order.
+pub(super) fn validate(root: &Value<'_>, schema: &Schema) -> Vec<Finding> {
+    let mut validator = Validator {
         path: Vec::new(),
-        guard_steering: schema.guard_steering,
+        forbids_upstream_keys: schema.forbids_upstream_keys,
         findings: Vec::new(),
     };
-    walk.section(root, schema.fields);
-    walk.findings
+    validator.check_object(root, schema.fields);
+    validator.findings
 }
 
-struct Walk {
+struct Validator {
     path: Vec<String>,
-    guard_steering: bool,
+    forbids_upstream_keys: bool,
     findings: Vec<Finding>,
 }
 
-impl Walk {
-    fn find(&mut self, range: Range, problem: Problem) {
+impl Validator {
+    fn report(&mut self, range: Range, problem: Problem) {
         self.findings.push(Finding {
             path: self.path.join("."),
             range,
@@ -36,68 +36,68 @@
         });
     }
 
-    fn below(&mut self, key: &str, visit: impl FnOnce(&mut Self)) {
+    fn descend(&mut self, key: &str, visit: impl FnOnce(&mut Self)) {
         self.path.push(quote(key));
         visit(self);
         self.path.pop();
     }
 
-    fn value(&mut self, value: &Value<'_>, shape: &Shape) {
+    fn check_value(&mut self, value: &Value<'_>, shape: &Shape) {
         match shape {
-            Shape::Text(form) => self.text(value, shape, *form),
-            Shape::Address => self.address(value, shape),
-            Shape::Integer { min, max } => self.integer(value, shape, *min, *max),
-            Shape::Number { min, max } => self.number(value, shape, *min, *max),
+            Shape::Text(format) => self.check_text(value, shape, *format),
+            Shape::Address => self.check_address(value, shape),
+            Shape::Integer { min, max } => self.check_integer(value, shape, *min, *max),
+            Shape::Number { min, max } => self.check_number(value, shape, *min, *max),
             Shape::Boolean => {
                 if value.as_boolean_lit().is_none() {
                     self.wrong_type(value, shape);
                 }
             }
-            Shape::Choice(known) => self.choice(value, shape, known),
-            Shape::Object(fields) => self.section(value, fields),
+            Shape::Choice(known) => self.check_choice(value, shape, known),
+            Shape::Object(fields) => self.check_object(value, fields),
             Shape::Map {
                 names,
                 value: inner,
-            } => self.map(value, shape, *names, inner),
-            Shape::List(inner) => self.list(value, shape, inner),
+            } => self.check_map(value, shape, *names, inner),
+            Shape::List(inner) => self.check_list(value, shape, inner),
         }
     }
 
     fn wrong_type(&mut self, value: &Value<'_>, shape: &Shape) {
         let problem = Problem::WrongType {
             expected: shape.describe(),
-            found: kind_of(value),
+            found: type_name(value),
         };
-        self.find(first_of(value), problem);
+        self.report(label_range(value), problem);
     }
 
-    fn text(&mut self, value: &Value<'_>, shape: &Shape, form: TextForm) {
+    fn check_text(&mut self, value: &Value<'_>, shape: &Shape, format: TextFormat) {
         let Some(text) = value.as_string_lit() else {
             return self.wrong_type(value, shape);
         };
-        if !form.admits(&text.value) {
-            self.wrong_form(text.range, &text.value, form.describe());
+        if !format.matches(&text.value) {
+            self.wrong_format(text.range, &text.value, format.describe());
         }
     }
 
-    fn wrong_form(&mut self, range: Range, found: &str, expected: &'static str) {
-        let problem = Problem::WrongForm {
+    fn wrong_format(&mut self, range: Range, found: &str, expected: &'static str) {
+        let problem = Problem::WrongFormat {
             found: quote(found),
             expected,
         };
-        self.find(range, problem);
+        self.report(range, problem);
     }
 
-    fn address(&mut self, value: &Value<'_>, shape: &Shape) {
+    fn check_address(&mut self, value: &Value<'_>, shape: &Shape) {
         let Some(text) = value.as_string_lit() else {
             return self.wrong_type(value, shape);
         };
         if text.value.parse::<SocketAddr>().is_err() {
-            self.wrong_form(text.range, &text.value, "an IP address with a port");
+            self.wrong_format(text.range, &text.value, "an IP address with a port");
         }
     }
 
-    fn integer(&mut self, value: &Value<'_>, shape: &Shape, min: u64, max: u64) {
+    fn check_integer(&mut self, value: &Value<'_>, shape: &Shape, min: u64, max: u64) {
         let Some(number) = value.as_number_lit() else {
             return self.wrong_type(value, shape);
         };
@@ -107,25 +107,25 @@
                 expected: shape.describe(),
                 found: "a fraction or power",
             };
-            return self.find(number.range, problem);
+            return self.report(number.range, problem);
         }
-        // A number too long to parse is out of range as well.
-        let within = number
+        // A number with too many digits to parse is also out of range.
+        let in_range = number
             .value
             .parse()
             .is_ok_and(|parsed| (min..=max).contains(&parsed));
-        if !within {
+        if !in_range {
             let problem = Problem::OutOfRange {
                 found: quote(number.value),
                 min,
                 max,
                 unit: self.path.last().map_or("", |key| hint::unit_of(key)),
             };
-            self.find(number.range, problem);
+            self.report(number.range, problem);
         }
     }
 
-    fn number(&mut self, value: &Value<'_>, shape: &Shape, min: f64, max: f64) {
+    fn check_number(&mut self, value: &Value<'_>, shape: &Shape, min: f64, max: f64) {
         let Some(number) = value.as_number_lit() else {
             return self.wrong_type(value, shape);
         };
@@ -137,11 +137,11 @@
                 max: max as u64,
                 unit: self.path.last().map_or("", |key| hint::unit_of(key)),
             };
-            self.find(number.range, problem);
+            self.report(number.range, problem);
         }
     }
 
-    fn choice(&mut self, value: &Value<'_>, shape: &Shape, known: &'static [&'static str]) {
+    fn check_choice(&mut self, value: &Value<'_>, shape: &Shape, known: &'static [&'static str]) {
         let Some(text) = value.as_string_lit() else {
             return self.wrong_type(value, shape);
         };
@@ -150,40 +150,44 @@
                 found: quote(&text.value),
                 known,
             };
-            self.find(text.range, problem);
+            self.report(text.range, problem);
         }
     }
 
-    fn list(&mut self, value: &Value<'_>, shape: &Shape, inner: &Shape) {
+    fn check_list(&mut self, value: &Value<'_>, shape: &Shape, inner: &Shape) {
         let Some(array) = value.as_array() else {
             return self.wrong_type(value, shape);
         };
         for (index, element) in array.elements.iter().enumerate() {
-            self.below(&index.to_string(), |walk| walk.value(element, inner));
+            self.descend(&index.to_string(), |validator| {
+                validator.check_value(element, inner)
+            });
         }
     }
 
-    fn map(&mut self, value: &Value<'_>, shape: &Shape, names: TextForm, inner: &Shape) {
+    fn check_map(&mut self, value: &Value<'_>, shape: &Shape, names: TextFormat, inner: &Shape) {
         let Some(object) = value.as_object() else {
             return self.wrong_type(value, shape);
         };
-        self.duplicates(object);
+        self.check_duplicates(object);
         for property in &object.properties {
             let name = property.name.as_str();
-            if !names.admits(name) {
-                self.wrong_form(property.name.range(), name, names.describe());
+            if !names.matches(name) {
+                self.wrong_format(property.name.range(), name, names.describe());
             }
-            self.below(name, |walk| walk.value(&property.value, inner));
+            self.descend(name, |validator| {
+                validator.check_value(&property.value, inner)
+            });
         }
     }
 
-    fn section(&mut self, value: &Value<'_>, fields: &'static [Field]) {
+    fn check_object(&mut self, value: &Value<'_>, fields: &'static [Field]) {
         let Some(object) = value.as_object() else {
             return self.wrong_type(value, &Shape::Object(fields));
         };
-        self.duplicates(object);
+        self.check_duplicates(object);
         for property in &object.properties {
-            self.property(property, fields);
+            self.check_property(property, fields);
         }
         for field in fields {
             if field.presence == Presence::Required && object.get(field.name).is_none() {
@@ -191,37 +195,39 @@
                     key: field.name,
                     expected: field.shape.describe(),
                 };
-                self.find(first_of(value), problem);
+                self.report(label_range(value), problem);
             }
         }
     }
 
-    fn property(&mut self, property: &ObjectProp<'_>, fields: &'static [Field]) {
+    fn check_property(&mut self, property: &ObjectProp<'_>, fields: &'static [Field]) {
         let key = property.name.as_str();
         let Some(field) = fields.iter().find(|field| field.name == key) else {
-            let problem = hint::unknown_key(key, fields, self.guard_steering);
-            return self.find(property.name.range(), problem);
+            let problem = hint::unknown_key(key, fields, self.forbids_upstream_keys);
+            return self.report(property.name.range(), problem);
         };
         let is_null = property.value.as_null_keyword().is_some();
         if is_null && field.presence == Presence::Optional {
             return;
         }
-        self.below(key, |walk| walk.value(&property.value, &field.shape));
+        self.descend(key, |validator| {
+            validator.check_value(&property.value, &field.shape)
+        });
     }
 
-    fn duplicates(&mut self, object: &Object<'_>) {
+    fn check_duplicates(&mut self, object: &Object<'_>) {
         let mut seen = std::collections::BTreeSet::new();
         for property in &object.properties {
             let key = property.name.as_str();
             if !seen.insert(key) {
                 let problem = Problem::DuplicateKey { key: quote(key) };
-                self.find(property.name.range(), problem);
+                self.report(property.name.range(), problem);
             }
         }
     }
 }
 
-fn kind_of(value: &Value<'_>) -> &'static str {
+fn type_name(value: &Value<'_>) -> &'static str {
     match value {
         Value::StringLit(_) => "a string",
         Value::NumberLit(_) => "a number",
@@ -232,9 +238,9 @@
     }
 }
 
-/// Range of a value; only the opening bracket of one that spans lines, so that
-/// a report doesn't quote a whole section.
-fn first_of(value: &Value<'_>) -> Range {
+/// Range of `value` that a report marks. Of an object or an array it is only the
+/// opening bracket, so that the report doesn't quote all of its lines.
+fn label_range(value: &Value<'_>) -> Range {
     let range = value.range();
     match value {
         Value::Object(_) | Value::Array(_) => Range::new(range.start, range.start + 1),
--- a/crates/settings/src/ids.rs
+++ b/crates/settings/src/ids.rs
@@ -1,4 +1,4 @@
-//! Ids that several crates share.
+//! Identifiers that several crates share.
 
 /// Name of a machine, unique within the platform.
 pub type InstanceId = String;
@@ -21,8 +21,9 @@
 /// Name of a service.
 pub type ServiceName = String;
 
-/// Revision of a published value; grows with each change.
+/// Revision of a published value; increases with each change.
 pub type Revision = u64;
 
-/// Number of a process's life; a later life of the same instance has a higher one.
+/// Number of one run of a process, from start to exit; a later run on the same
+/// instance has a higher number.
 pub type Incarnation = u64;
--- a/crates/settings/src/instances.rs
+++ b/crates/settings/src/instances.rs
@@ -6,10 +6,10 @@
 
 use crate::ids::{AvailabilityZone, InstanceId, ModelName, Region, ServiceName};
 
-/// The list as the platform serves it; it lags behind the truth.
+/// The list as the platform serves it; it may lag behind the actual instances.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct InstanceList {
-    /// Every instance that the platform knows.
+    /// Every instance that the platform lists.
     pub instances: Vec<Instance>,
 }
 
@@ -22,19 +22,19 @@
     pub region: Region,
     /// Availability zone it is in.
     pub availability_zone: AvailabilityZone,
-    /// Whether it is to stay.
+    /// Whether it takes new work.
     pub state: InstanceState,
     /// What runs on it.
     pub role: InstanceRole,
 }
 
-/// Whether an instance is to stay.
+/// Whether an instance takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
     /// Takes new work.
     Live,
-    /// Takes no new work and will be gone soon.
+    /// Takes no new work and is about to shut down.
     Leaving,
 }
 
@@ -42,25 +42,25 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum InstanceRole {
-    /// A daemon of this system.
+    /// A daemon of this project.
     Entry {
-        /// Address for links between daemons.
+        /// Address for connections between daemons.
         peer_address: SocketAddr,
         /// Address for callers.
         caller_address: SocketAddr,
     },
-    /// An engine of a model.
+    /// An engine that serves a model.
     Engine {
         /// HTTP address of the engine.
         address: SocketAddr,
         /// Model it serves.
         model: ModelName,
     },
-    /// A service.
+    /// An instance of a service.
     Service {
         /// HTTP address of the service.
         address: SocketAddr,
-        /// Service it belongs to.
+        /// Name of the service.
         service: ServiceName,
     },
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,11 @@
-//! Settings of a process and the published configuration, read and checked.
+//! Parsing and validation of process settings and the published configuration.
 //!
-//! Owns every document that a person writes: the JSONC settings file of a
-//! process ([`process`]), the configuration that operators publish
-//! ([`published`]), and the platform's list of instances ([`instances`]). Each
-//! is read into typed values or refused whole, with the place of every fault
-//! ([`check`]). The other crates take the typed values; none of them reads a
-//! document itself.
+//! This crate defines the types of the JSONC settings file of a process
+//! ([`process`]), of the configuration that operators publish ([`published`]), and
+//! of the platform's list of instances ([`instances`]). Settings and configuration
+//! are either parsed into typed values or rejected as a whole, with the location of
+//! every fault ([`check`]). The other crates use the typed values and don't parse
+//! these documents themselves.
 
 pub mod check;
 pub mod ids;
--- a/crates/settings/src/process.rs
+++ b/crates/settings/src/process.rs
@@ -1,9 +1,9 @@
 //! Settings of one daemon process.
 //!
-//! A process learns its own addresses and availability zone here and nowhere
-//! else. The file is JSONC. Sections are separate structs whose `Default` is
-//! what a missing section or key means; `docs/settings.md` lists every field
-//! with unit and default.
+//! The settings file is a process's only source of its own addresses and
+//! availability zone. The file is JSONC. Each section is a struct of its own, whose
+//! `Default` applies to a missing section or key; `docs/settings.md` lists every
+//! field with unit and default.
 
 mod builder;
 mod choice;
@@ -28,41 +28,41 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSettings {
-    /// Name of the instance, as the platform's list gives it.
+    /// Name of the instance, as in the platform's list.
     pub instance: InstanceId,
     /// Region of the instance.
     pub region: Region,
     /// Availability zone of the instance.
     pub availability_zone: AvailabilityZone,
-    /// Address for callers.
+    /// Address on which callers are served.
     pub caller_address: SocketAddr,
-    /// Address for links between daemons.
+    /// Address for connections between daemons.
     pub peer_address: SocketAddr,
-    /// Address for operators.
+    /// Address of the operators' interface.
     pub admin_address: SocketAddr,
     /// Address of the platform's service.
     pub platform_address: SocketAddr,
-    /// Limits towards callers and upstreams.
+    /// Limits on callers and upstreams.
     #[serde(default)]
     pub limits: Limits,
-    /// Form of the log.
+    /// Level and format of the log.
     #[serde(default)]
     pub logs: LogSettings,
-    /// Links between daemons.
+    /// Connections between daemons.
     #[serde(default)]
     pub peers: PeerSettings,
-    /// Entries that the audit trail holds.
+    /// Capacity of the audit trail, in entries.
     #[serde(default = "default_audit_capacity_entries")]
     pub audit_capacity_entries: u32,
-    /// Longest graceful shutdown, in milliseconds; unset means the longest time
-    /// limit of a class.
+    /// Maximum duration of a graceful shutdown, in milliseconds; if unset, the
+    /// longest time limit of any class.
     #[serde(default)]
     pub stop_limit_ms: Option<u64>,
-    /// Whether a broken invariant ends the process; for tests.
+    /// Whether a violated invariant ends the process; for tests.
     #[serde(default)]
     pub fatal_invariants: bool,
-    /// Serving of published routes in place of the own interface; unset means
-    /// the own interface.
+    /// Settings for serving published routes; if unset, the daemon serves its own
+    /// interface instead.
     #[serde(default)]
     pub gateway: Option<GatewaySettings>,
 }
@@ -71,29 +71,30 @@
     4096
 }
 
-/// Limits towards callers and upstreams.
+/// Limits on callers and upstreams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's headers, in bytes.
     pub header_limit_bytes: u32,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_limit_bytes: u32,
-    /// Most requests in progress at once.
+    /// Maximum number of requests in progress.
     pub in_progress_limit_requests: u32,
-    /// Memory for the bodies of all requests in progress, in bytes.
+    /// Memory for the bodies of all requests in progress together, in bytes.
     pub bodies_limit_bytes: u64,
-    /// Longest time for a request's head to arrive, in milliseconds; a
-    /// connection that is idle for so long is closed.
+    /// Time within which a request's headers have to arrive, in milliseconds; a
+    /// connection that has been idle for this time is closed.
     pub header_timeout_ms: u64,
-    /// Longest time for a request's body to arrive, in milliseconds.
+    /// Time within which a request's body has to arrive, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Frames of one answer held for a slow reader.
+    /// Number of frames of one answer that are buffered for a slow caller.
     pub stream_buffer_frames: u32,
-    /// Longest time that a reader may take no frame, and its connection no
-    /// byte, in milliseconds.
+    /// Time after which a stream fails if its caller accepts no frame and its
+    /// connection no byte, in milliseconds.
     pub stream_stall_timeout_ms: u64,
-    /// Longest time for a connection to an upstream, in milliseconds.
+    /// Time within which a connection to an upstream has to be established, in
+    /// milliseconds.
     pub connect_timeout_ms: u64,
 }
 
@@ -114,76 +115,77 @@
 }
 
 impl Limits {
-    /// Longest time for a request's head to arrive.
+    /// Time within which a request's headers have to arrive.
     #[must_use]
     pub fn header_timeout(&self) -> Duration {
         Duration::from_millis(self.header_timeout_ms)
     }
 
-    /// Longest time for a request's body to arrive.
+    /// Time within which a request's body has to arrive.
     #[must_use]
     pub fn body_timeout(&self) -> Duration {
         Duration::from_millis(self.body_timeout_ms)
     }
 
-    /// Longest time that a reader may take no frame.
+    /// Time after which a stream fails if its caller accepts no frame.
     #[must_use]
     pub fn stream_stall_timeout(&self) -> Duration {
         Duration::from_millis(self.stream_stall_timeout_ms)
     }
 
-    /// Longest time for a connection to an upstream.
+    /// Time within which a connection to an upstream has to be established.
     #[must_use]
     pub fn connect_timeout(&self) -> Duration {
         Duration::from_millis(self.connect_timeout_ms)
     }
 }
 
-/// Form of the log.
+/// Level and format of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: LogLevel,
-    /// Layout of a line.
+    /// Format of a line.
     pub format: LogFormat,
 }
 
-/// Level of a log line.
+/// Severity of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Faults that need a person.
+    /// Faults that need an operator's attention.
     Error,
-    /// Faults that the process works around.
+    /// Faults from which the process recovers by itself.
     Warn,
     /// Changes of state.
     #[default]
     Info,
-    /// Single decisions.
+    /// Individual decisions.
     Debug,
-    /// Single messages.
+    /// Individual messages.
     Trace,
 }
 
-/// Layout of a log line.
+/// Format of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// Text for a person, on standard error.
+    /// Human-readable text, on standard error.
     #[default]
     Human,
-    /// One JSON object a line, on standard output.
+    /// One JSON object per line, on standard output.
     Json,
 }
 
-/// Links between daemons.
+/// Connections between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PeerSettings {
     /// Time between two heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Silence after which a member is suspected, in milliseconds.
+    /// Time without a heartbeat after which a member is suspected to have failed, in
+    /// milliseconds.
     pub suspect_after_ms: u64,
 }
 
@@ -203,7 +205,7 @@
         Duration::from_millis(self.heartbeat_ms)
     }
 
-    /// Silence after which a member is suspected.
+    /// Time without a heartbeat after which a member is suspected to have failed.
     #[must_use]
     pub fn suspect_after(&self) -> Duration {
         Duration::from_millis(self.suspect_after_ms)
--- a/crates/settings/src/process/builder.rs
+++ b/crates/settings/src/process/builder.rs
@@ -1,4 +1,4 @@
-//! Settings made in code, for tests and for programs that embed a daemon.
+//! Builder for settings, for tests and for programs that embed a daemon.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -10,20 +10,21 @@
 pub struct DaemonSettingsBuilder(DaemonSettings);
 
 impl DaemonSettings {
-    /// Settings of `instance` that listen on free loopback ports.
+    /// Returns a builder of settings for `instance` that listen on loopback ports
+    /// chosen by the operating system.
     ///
-    /// The platform's address must still be set for the daemon to find it.
+    /// The platform's address has to be set before the daemon can reach it.
     #[must_use]
     pub fn builder(instance: impl Into<InstanceId>) -> DaemonSettingsBuilder {
-        let free_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         DaemonSettingsBuilder(Self {
             instance: instance.into(),
             region: "local".to_owned(),
             availability_zone: "local".to_owned(),
-            caller_address: free_port,
-            peer_address: free_port,
-            admin_address: free_port,
-            platform_address: free_port,
+            caller_address: any_port,
+            peer_address: any_port,
+            admin_address: any_port,
+            platform_address: any_port,
             limits: Limits::default(),
             logs: LogSettings::default(),
             peers: PeerSettings::default(),
@@ -36,7 +37,7 @@
 }
 
 impl DaemonSettingsBuilder {
-    /// Sets where the instance is.
+    /// Sets the region and availability zone of the instance.
     #[must_use]
     pub fn place(
         mut self,
@@ -48,21 +49,21 @@
         self
     }
 
-    /// Sets the address for callers.
+    /// Sets the address on which callers are served.
     #[must_use]
     pub fn caller_address(mut self, address: SocketAddr) -> Self {
         self.0.caller_address = address;
         self
     }
 
-    /// Sets the address for links between daemons.
+    /// Sets the address for connections between daemons.
     #[must_use]
     pub fn peer_address(mut self, address: SocketAddr) -> Self {
         self.0.peer_address = address;
         self
     }
 
-    /// Sets the address for operators.
+    /// Sets the address of the operators' interface.
     #[must_use]
     pub fn admin_address(mut self, address: SocketAddr) -> Self {
         self.0.admin_address = address;
@@ -76,49 +77,49 @@
         self
     }
 
-    /// Sets the limits towards callers and upstreams.
+    /// Sets the limits on callers and upstreams.
     #[must_use]
     pub fn limits(mut self, limits: Limits) -> Self {
         self.0.limits = limits;
         self
     }
 
-    /// Sets the form of the log.
+    /// Sets level and format of the log.
     #[must_use]
     pub fn logs(mut self, logs: LogSettings) -> Self {
         self.0.logs = logs;
         self
     }
 
-    /// Sets the times of the links between daemons.
+    /// Sets the timing of the connections between daemons.
     #[must_use]
     pub fn peers(mut self, peers: PeerSettings) -> Self {
         self.0.peers = peers;
         self
     }
 
-    /// Sets how many entries the audit trail holds.
+    /// Sets the capacity of the audit trail, in entries.
     #[must_use]
     pub fn audit_capacity_entries(mut self, entries: u32) -> Self {
         self.0.audit_capacity_entries = entries;
         self
     }
 
-    /// Sets the longest graceful shutdown, in milliseconds.
+    /// Sets the maximum duration of a graceful shutdown, in milliseconds.
     #[must_use]
     pub fn stop_limit_ms(mut self, limit_ms: u64) -> Self {
         self.0.stop_limit_ms = Some(limit_ms);
         self
     }
 
-    /// Sets whether a broken invariant ends the process.
+    /// Sets whether a violated invariant ends the process.
     #[must_use]
     pub fn fatal_invariants(mut self, fatal: bool) -> Self {
         self.0.fatal_invariants = fatal;
         self
     }
 
-    /// The settings.
+    /// Returns the settings.
     #[must_use]
     pub fn build(self) -> DaemonSettings {
         self.0
--- a/crates/settings/src/process/choice.rs
+++ b/crates/settings/src/process/choice.rs
@@ -1,185 +1,198 @@
-//! Weights of the choice among engines.
+//! Cost parameters for the choice among engines.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Weights of the choice among engines; each mechanism can be switched off by its own.
+/// Cost parameters for the choice among engines; each mechanism can be disabled by its
+/// own parameter.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ChoiceOptions {
-    /// Cost of each further engine that reads a part, in milliseconds; 12 by default.
+    /// Cost of each additional engine that prefills a share of the prompt, in milliseconds;
+    /// 12 by default.
     ///
-    /// A prompt that takes `r` ms on one engine is read by about `sqrt(r / 12)`:
-    /// five engines for 45,000 tokens, twelve for 133,000, seventeen for
-    /// 300,000. Less would split short prompts too, for which the risk that one
-    /// more engine fails outweighs the few milliseconds.
+    /// A prompt that takes `r` ms on one engine is prefilled by about `sqrt(r / 12)`
+    /// engines: five for 45,000 tokens, twelve for 133,000, seventeen for 300,000. A lower
+    /// cost would split short prompts too, for which the risk that one more engine fails
+    /// outweighs the few milliseconds saved.
     pub helper_cost_ms: f64,
-    /// Cost of each place in the shared order, in milliseconds; 1.5 by default.
+    /// Cost of each rank in the shared order of engines, in milliseconds; 1.5 by default.
     ///
-    /// About the time by which one more short answer lengthens a pass, so that
-    /// an engine gets the next request when the one before it has one or two more.
+    /// This is about the time by which one more short answer lengthens a forward pass, so
+    /// that an engine gets the next request when the engine ranked before it has one or two
+    /// more.
     pub rank_cost_ms: f64,
-    /// Most that the last place in that order costs, in milliseconds; 35 by default,
-    /// what it costs before 24 engines.
+    /// Maximum cost of the last rank in that order, in milliseconds; 35 by default, the
+    /// cost of the last rank of 24 engines.
     ///
-    /// The far end of two hundred engines would else cost as much as a broken target:
-    /// there 0.2 ms a place in place of 1.5 took the worth in time of a simulated load,
-    /// with news 25 ms old, from 67 to 89 of 100.
+    /// Without the limit, the last ranks of two hundred engines would cost as much as a
+    /// missed target: 0.2 ms per rank instead of 1.5 ms raised the in-time score of a
+    /// simulated load, with load updates 25 ms old, from 67 to 89 of 100.
     pub order_limit_ms: f64,
-    /// Cost of putting a short request on an engine that answers none with as
-    /// short a pause, in milliseconds; 50 by default.
+    /// Cost of placing a short request on an engine that runs no answer with as short a
+    /// gap limit, in milliseconds; 50 by default.
     ///
-    /// From then on long parts have to stay away from that engine. An engine that
-    /// answers nobody begins at once, which saves up to half a pass of some 60 ms:
-    /// without this cost short requests would take each engine that falls idle.
+    /// From then on, long shares have to avoid that engine. An engine without answers
+    /// starts at once, which saves up to half a forward pass of about 60 ms: without this
+    /// cost, short requests would occupy every engine that becomes idle.
     pub opening_cost_ms: f64,
-    /// Prompts that one engine reads within this time are not split, in
-    /// milliseconds; 100 by default, a third of the shortest usual target.
+    /// Prompts that one engine prefills within this time are not split, in milliseconds;
+    /// 100 by default, a third of the shortest usual target.
     pub unsplit_read_ms: f64,
-    /// Longest queue before engines, times the time that a prompt takes to read, in
-    /// square milliseconds; 200,000 by default.
+    /// Limit on the queue in front of engines multiplied by the prefill time of the
+    /// prompt, in square milliseconds; 200,000 by default.
     ///
-    /// A prompt of 45,000 tokens (0.36 s) is put behind up to 0.6 s of others, one of
+    /// A prompt of 45,000 tokens (0.36 s) is queued behind up to 0.6 s of others, one of
     /// 133,000 (1.9 s) behind 0.1 s, one of 300,000 (7.7 s) behind 26 ms. Longer queues put
-    /// more parts into one pass, which breaks pauses: with 700,000, the worth of five loads
-    /// of 18 engines was 0.020 lower and of 78 engines equal within 0.002, eight seeds each.
+    /// more shares into one forward pass, which exceeds gap limits: with 700,000, the score
+    /// of five loads was 0.020 lower with 18 engines and equal within 0.002 with 78 engines,
+    /// eight seeds each.
     pub queue_read_ms2: f64,
-    /// Time for which a prompt and all that was placed may keep all engines reading, in
-    /// milliseconds; 1,000 by default.
+    /// Time for which a prompt, together with everything already placed, may keep all
+    /// engines prefilling, in milliseconds; 1,000 by default.
     ///
-    /// Beyond it, the largest of those that would have to wait are refused at once: before
-    /// few engines one such prompt is a third of a second of everybody's time. Without it,
-    /// a calm day of 18 engines with peaks by turns lost a tenth of its worth, as what was
-    /// held back in one peak met the short prompts of the next; with 600 a fleet of 78
-    /// engines lost 0.01 to 0.02 in simulated loads.
+    /// Beyond it, the largest of the prompts that would have to wait are refused at once:
+    /// with few engines, one such prompt takes a third of a second from every other request.
+    /// Without the limit, a low load on 18 engines with alternating peaks lost a tenth of
+    /// its score, because prompts deferred in one peak delayed the short prompts of the
+    /// next; with 600 ms, 78 engines lost 0.01 to 0.02 in simulated loads.
     pub overrun_ms: f64,
-    /// Targets for which a prompt that finds no room in memory waits before it is put
-    /// into an engine's own queue; 0.5 by default, as the other half is for reading it.
+    /// Time, as a multiple of its target, for which a prompt that doesn't fit into memory
+    /// waits before it is placed in an engine's own queue; 0.5 by default, which leaves the
+    /// other half for its prefill.
     pub wait_targets: f64,
-    /// Targets within which a first event has to be expected for a prompt to wait on for a
-    /// shorter queue; 0.9 by default, as the expectation may be a pass or two short.
+    /// Time, as a multiple of its target, within which the first event of a prompt has to be
+    /// predicted for it to keep waiting for a shorter queue; 0.9 by default, because the
+    /// prediction may be a forward pass or two too early.
     pub in_time_targets: f64,
-    /// Targets for which a prompt that can't be in time any more, and is not refused, waits
-    /// for a shorter queue; 2 by default, which leaves time to read it before its caller
-    /// leaves after four.
+    /// Time, as a multiple of its target, for which a prompt that can no longer meet its
+    /// target and is not refused waits for a shorter queue; 2 by default, which leaves time
+    /// to prefill it before its caller gives up after four.
     pub late_targets: f64,
-    /// Share of the callers with prompts of a size among the largest that are served, in
-    /// percent; 60 by default. The others may be refused when they can't be in time.
+    /// Share of the callers with prompts of a given size, among the largest sizes, that are
+    /// served, in percent; 60 by default. The others may be refused if they can't meet their
+    /// target.
     pub served_percent: u64,
-    /// Share of them below which prompts of that size are held back no more than they can
-    /// be in time, in percent; 50 by default, as the largest are promised to be served at
-    /// least half as often as all.
+    /// Served share of these callers below which prompts of that size are deferred only as
+    /// long as they can still meet their target, in percent; 50 by default, because the
+    /// largest prompts are guaranteed to be served at least half as often as all.
     pub promised_percent: u64,
-    /// Answers with pauses of up to this many times the shortest fill the engines
-    /// from the near end, all others from the far end; 1.5 by default.
+    /// Answers whose gap limit is up to this multiple of the shortest one fill the engines
+    /// from the start of the order, all others from its end; 1.5 by default.
     pub brisk_factor: f64,
-    /// Share of an answer's longest pause up to which a predicted pass is safe;
-    /// 0.6 by default, as short prompts that come later read in the same pass.
+    /// Share of an answer's gap limit up to which a predicted forward pass is safe; 0.6 by
+    /// default, because short prompts that arrive later are prefilled in the same pass.
     ///
-    /// 0.6 and 1.0 in place of 0.4 and 0.8 bought 0.028 of the worth of days with faults
-    /// at one deployment, 0.6 and 0.8 bought 0.015 at another, three seeds each: long
-    /// prompts are read by more engines that answer short ones, in parts that these bear.
+    /// 0.6 and 1.0 instead of 0.4 and 0.8 for this and `broken_gap_share` raised the score
+    /// of days with faults by 0.028 in one deployment, 0.6 and 0.8 by 0.015 in another,
+    /// three seeds each: long prompts are prefilled by more of the engines that run short
+    /// answers, in shares small enough for these.
     pub safe_gap_share: f64,
-    /// Share from which a predicted pass breaks the pause for certain; 1.0 by default.
+    /// Share of the gap limit from which on a predicted forward pass certainly exceeds it;
+    /// 1.0 by default.
     pub broken_gap_share: f64,
-    /// Least cost of each answer whose pause would get too long, in milliseconds; 600 by
-    /// default, twice the shortest usual target.
+    /// Minimum cost of each answer whose gap limit would be exceeded, in milliseconds; 600
+    /// by default, twice the shortest usual target.
     pub broken_gap_cost_ms: f64,
-    /// The same in targets of the request that chooses, which counts where it is more;
-    /// 0.9 by default.
+    /// The same cost as a multiple of the target of the request to be placed; the higher of
+    /// the two applies; 0.9 by default.
     ///
-    /// A request with seconds to go loses nothing by reading elsewhere or later, while
-    /// the answer is late for certain. With 600 ms for all, long prompts broke the pauses
-    /// of short answers to be seconds ahead of their own target: this bought 0.008 to 0.048
-    /// of the worth of three sets of simulated loads, eight seeds each.
+    /// A request with seconds left loses nothing if it is prefilled elsewhere or later, while
+    /// the answer is certain to be late. With 600 ms for all requests, long prompts exceeded
+    /// the gap limits of short answers in order to finish seconds before their own target:
+    /// this factor raised the score of three sets of simulated loads by 0.008 to 0.048, eight
+    /// seeds each.
     pub broken_gap_targets: f64,
     /// Cost of an engine in another availability zone, in milliseconds; 15 by default.
     ///
-    /// A round trip is a tenth of that. The rest is for what a request there risks: a
-    /// zone that is cut off holds it for more than a second. Bought 0.008 of the worth
-    /// of days with faults against 3, three seeds.
+    /// A round trip takes a tenth of that. The rest accounts for the risk of a request there:
+    /// an availability zone that is cut off blocks it for more than a second. Compared with
+    /// 3 ms, this raised the score of days with faults by 0.008, three seeds.
     pub other_zone_cost_ms: f64,
     /// Cost of opening a connection to an upstream, in milliseconds; 30 by default.
     ///
-    /// The handshake itself takes a few. The rest is what it costs the upstream, all of
-    /// whose connections are bounded, and it is more than `tie_ms`, or nothing would
-    /// prefer the engines to which a connection is open already.
+    /// The handshake itself takes a few milliseconds. The rest accounts for the upstream,
+    /// whose number of connections is limited, and has to exceed `tie_ms`, as otherwise
+    /// engines with an open connection would not be preferred.
     pub connect_cost_ms: f64,
-    /// Cost of a request that has to wait for a slot, in milliseconds; 400 by
-    /// default, a third of a short answer's time.
+    /// Cost of a request that has to wait for a slot, in milliseconds; 400 by default, a
+    /// third of the duration of a short answer.
     pub full_cost_ms: f64,
-    /// Share of an engine's slots up to which it counts as roomy; 0.75 by default.
+    /// Share of an engine's slots that may be in use before each further request costs
+    /// `crowding_cost_ms`; 0.75 by default.
     pub roomy_share: f64,
-    /// Cost of each request beyond that, in milliseconds; 15 by default.
+    /// Cost of each request beyond that share, in milliseconds; 15 by default.
     ///
-    /// Other daemons' latest requests are not known yet; a request that finds the
-    /// last slot taken waits for a second. It counts in full from `crowd_daemons`
-    /// on: with six daemons, filled engines leave more of them to long prompts.
+    /// The latest requests of other daemons are not known yet, and a request that finds the
+    /// last slot taken waits for a second. The cost applies in full from `crowd_daemons`
+    /// daemons on: with six daemons, filled engines leave more of them to long prompts.
     pub crowding_cost_ms: f64,
-    /// Difference in cost up to which engines count as equal, in milliseconds; 12
-    /// by default, less than half of the time that a short prompt takes to read. It
-    /// counts in full from `crowd_daemons` on.
+    /// Difference in cost up to which engines count as equal, in milliseconds; 12 by default,
+    /// less than half of the prefill time of a short prompt. It applies in full from
+    /// `crowd_daemons` daemons on.
     pub tie_ms: f64,
-    /// Engines among which a short prompt's is drawn, for each request that other
-    /// daemons are expected to have placed without being heard of yet; 1.5 by default.
+    /// Number of engines among which the engine for a short prompt is drawn, per request that
+    /// other daemons are expected to have placed without a load update having arrived; 1.5 by
+    /// default.
     ///
-    /// Taking the cheapest, all daemons would meet there until they hear of each other.
-    /// Before 195 engines at a peak with news 25 ms old, drawing among 20 to 40 took
-    /// the worth in time of a simulated load from 89 to 92 of 100.
+    /// If all daemons chose the cheapest engine, they would choose the same one until they
+    /// receive each other's load updates. With 195 engines at peak load and load updates
+    /// 25 ms old, drawing among 20 to 40 engines raised the in-time score of a simulated load
+    /// from 89 to 92 of 100.
     pub unheard_spread: f64,
-    /// Daemons from which on many choose at the same moment; 40 by default.
+    /// Number of daemons from which on many place requests at the same moment; 40 by default.
     pub crowd_daemons: usize,
-    /// Time from its start in which a daemon spreads short prompts widely, in
-    /// milliseconds; 3,000 by default. Chosen, not measured: well over a few heartbeats, by which daemons
-    /// that start together find each other.
+    /// Time after its start in which a daemon spreads short prompts widely, in milliseconds;
+    /// 3,000 by default: well over a few heartbeats, within which daemons that start together
+    /// discover each other.
     pub settling_time_ms: u64,
-    /// The difference in cost that counts as equal during that time, in
-    /// milliseconds; 100 by default, so that any idle engine will do.
+    /// Difference in cost that counts as equal during that time, in milliseconds; 100 by
+    /// default, so that any idle engine may be chosen.
     ///
-    /// After a loss of power all daemons start at once, their callers come back in
-    /// the same moment, and none knows yet of the others' requests: all would fill
-    /// the same few engines.
+    /// After a power failure all daemons start at once, their callers return at the same
+    /// moment, and no daemon knows the requests of the others yet: all would fill the same
+    /// few engines.
     pub settling_tie_ms: f64,
-    /// Requests that may wait for a slot of an engine; 1 by default.
+    /// Number of requests that may wait for a slot of an engine; 1 by default.
     ///
-    /// When every engine has as many, a further request would be late and make
-    /// others late: a slot is held for seconds, a first event is due in tenths.
+    /// If every engine has as many, a further request would be late and delay others: a slot
+    /// is occupied for seconds, while the first event is due within tenths of a second.
     pub queued_requests: u32,
-    /// Share of an engine's memory that is planned with; 0.96 by default, as
-    /// memory comes in blocks and answers grow.
+    /// Share of an engine's memory that may be planned; 0.96 by default, because memory is
+    /// allocated in blocks and answers grow.
     pub memory_share: f64,
-    /// Most engines that read one prompt with the one that answers; 16 by
-    /// default, the most that engines take.
+    /// Maximum number of helpers that prefill one prompt together with the engine that
+    /// answers; 16 by default, the maximum that engines accept.
     pub helpers_limit: usize,
-    /// How long a failed upstream is left out at first, in milliseconds; 500 by
-    /// default, and twice as long with each failure in a row.
+    /// Time for which an upstream is ejected after its first failure, in milliseconds; 500 by
+    /// default. It doubles with each consecutive failure.
     pub first_ejection_ms: u64,
-    /// Longest time for which it is left out, in milliseconds; 6,000 by default.
+    /// Maximum time for which an upstream is ejected, in milliseconds; 6,000 by default.
     pub longest_ejection_ms: u64,
 }
 
 impl ChoiceOptions {
-    /// Time from its start in which a daemon spreads short prompts widely.
+    /// Time after its start in which a daemon spreads short prompts widely.
     #[must_use]
     pub fn settling_time(&self) -> Duration {
         Duration::from_millis(self.settling_time_ms)
     }
 
-    /// How long a failed upstream is left out at first.
+    /// Time for which an upstream is ejected after its first failure.
     #[must_use]
     pub fn first_ejection(&self) -> Duration {
         Duration::from_millis(self.first_ejection_ms)
     }
 
-    /// Longest time for which it is left out.
+    /// Maximum time for which an upstream is ejected.
     #[must_use]
     pub fn longest_ejection(&self) -> Duration {
         Duration::from_millis(self.longest_ejection_ms)
     }
 
-    /// Cost of each answer whose pause would get too long, to a request with this target,
-    /// in milliseconds.
+    /// Cost of each answer whose gap limit would be exceeded, for a request with this
+    /// target, in milliseconds.
     #[must_use]
     pub fn broken_gap_cost_ms(&self, target: Duration) -> f64 {
         let target_ms = target.as_secs_f64() * 1_000.0;
@@ -187,7 +200,7 @@
             .max(self.broken_gap_targets * target_ms)
     }
 
-    /// Share in which costs count that stand for other daemons' unknown requests.
+    /// Factor from 0 to 1 for costs that account for unknown requests of other daemons.
     #[must_use]
     pub fn crowd_share(&self, daemons: usize) -> f64 {
         (daemons as f64 / self.crowd_daemons.max(1) as f64).min(1.0)
--- a/crates/settings/src/process/fields.rs
+++ b/crates/settings/src/process/fields.rs
@@ -1,10 +1,10 @@
-//! Table of the settings' fields and their ranges.
+//! Schema of a daemon's settings: fields and their ranges.
 
 use std::collections::BTreeMap;
 
 use jsonc_parser::ast::Object;
 
-use crate::check::shape::{Field, Schema, Shape, TextForm};
+use crate::check::shape::{Field, Schema, Shape, TextFormat};
 use crate::check::{Finding, Problem};
 use crate::process::MIN_CHANGE_BOUND;
 
@@ -14,21 +14,21 @@
 const KIB_BYTES: u64 = 1024;
 const MIB_BYTES: u64 = 1024 * KIB_BYTES;
 
-/// The settings file of a daemon.
+/// Schema of a daemon's settings file.
 pub(super) static SCHEMA: Schema = Schema {
     fields: FIELDS,
-    guard_steering: false,
+    forbids_upstream_keys: false,
     rules: &[
-        addresses_differ,
-        suspicion_outlasts_heartbeats,
-        pauses_are_safe_before_they_break,
+        listen_addresses_differ,
+        suspicion_spans_two_heartbeats,
+        gap_shares_are_ordered,
     ],
 };
 
 const FIELDS: &[Field] = &[
-    Field::required("instance", Shape::Text(TextForm::Name)),
-    Field::required("region", Shape::Text(TextForm::Name)),
-    Field::required("availability_zone", Shape::Text(TextForm::Name)),
+    Field::required("instance", Shape::Text(TextFormat::Name)),
+    Field::required("region", Shape::Text(TextFormat::Name)),
+    Field::required("availability_zone", Shape::Text(TextFormat::Name)),
     Field::required("caller_address", Shape::Address),
     Field::required("peer_address", Shape::Address),
     Field::required("admin_address", Shape::Address),
@@ -36,8 +36,8 @@
     Field::defaulted("limits", Shape::Object(LIMITS)),
     Field::defaulted("logs", Shape::Object(LOGS)),
     Field::defaulted("peers", Shape::Object(PEERS)),
-    Field::defaulted("audit_capacity_entries", between(1, 1_000_000)),
-    Field::optional("stop_limit_ms", between(1, 24 * HOUR_MS)),
+    Field::defaulted("audit_capacity_entries", integer(1, 1_000_000)),
+    Field::optional("stop_limit_ms", integer(1, 24 * HOUR_MS)),
     Field::defaulted("fatal_invariants", Shape::Boolean),
     Field::optional("gateway", Shape::Object(GATEWAY)),
 ];
@@ -46,21 +46,21 @@
     Field::required("ready_address", Shape::Address),
     Field::required("news_address", Shape::Address),
     Field::defaulted("seeds", Shape::List(&Shape::Address)),
-    Field::defaulted("key_lease_ms", between(100, HOUR_MS)),
+    Field::defaulted("key_lease_ms", integer(100, HOUR_MS)),
     Field::defaulted(
         "configuration_bound_ms",
-        between(MIN_CHANGE_BOUND.as_millis() as u64, HOUR_MS),
+        integer(MIN_CHANGE_BOUND.as_millis() as u64, HOUR_MS),
     ),
     Field::defaulted(
         "leaving_bound_ms",
-        between(MIN_CHANGE_BOUND.as_millis() as u64, HOUR_MS),
+        integer(MIN_CHANGE_BOUND.as_millis() as u64, HOUR_MS),
     ),
     Field::defaulted("second_send_ratio", number(0.0, 10.0)),
     Field::defaulted("second_send_slack_requests", number(0.0, 1e6)),
     Field::defaulted("second_send_window_s", number(0.1, 3_600.0)),
     Field::defaulted("engine_stall_ms", number(1.0, 3.6e6)),
     Field::defaulted("stop_grace_s", number(0.1, 3_600.0)),
-    Field::defaulted("relay_from_daemons", between(0, 1_000_000)),
+    Field::defaulted("relay_from_daemons", integer(0, 1_000_000)),
     Field::defaulted("processor_cores", number(0.001, 10_000.0)),
     Field::defaulted("choice", Shape::Object(CHOICE)),
 ];
@@ -76,8 +76,8 @@
     Field::defaulted("wait_targets", number(0.0, 100.0)),
     Field::defaulted("in_time_targets", number(0.0, 100.0)),
     Field::defaulted("late_targets", number(0.0, 100.0)),
-    Field::defaulted("served_percent", between(0, 100)),
-    Field::defaulted("promised_percent", between(0, 100)),
+    Field::defaulted("served_percent", integer(0, 100)),
+    Field::defaulted("promised_percent", integer(0, 100)),
     Field::defaulted("brisk_factor", number(0.0, 100.0)),
     Field::defaulted("safe_gap_share", number(0.0, 100.0)),
     Field::defaulted("broken_gap_share", number(0.0, 100.0)),
@@ -90,30 +90,30 @@
     Field::defaulted("crowding_cost_ms", number(0.0, 1e6)),
     Field::defaulted("tie_ms", number(0.0, 1e6)),
     Field::defaulted("unheard_spread", number(0.0, 100.0)),
-    Field::defaulted("crowd_daemons", between(1, 1_000_000)),
-    Field::defaulted("settling_time_ms", between(0, HOUR_MS)),
+    Field::defaulted("crowd_daemons", integer(1, 1_000_000)),
+    Field::defaulted("settling_time_ms", integer(0, HOUR_MS)),
     Field::defaulted("settling_tie_ms", number(0.0, 1e6)),
-    Field::defaulted("queued_requests", between(0, 1_000)),
+    Field::defaulted("queued_requests", integer(0, 1_000)),
     Field::defaulted("memory_share", number(0.01, 1.0)),
-    Field::defaulted("helpers_limit", between(0, 64)),
-    Field::defaulted("first_ejection_ms", between(0, HOUR_MS)),
-    Field::defaulted("longest_ejection_ms", between(0, HOUR_MS)),
+    Field::defaulted("helpers_limit", integer(0, 64)),
+    Field::defaulted("first_ejection_ms", integer(0, HOUR_MS)),
+    Field::defaulted("longest_ejection_ms", integer(0, HOUR_MS)),
 ];
 
 const LIMITS: &[Field] = &[
-    // hyper takes no smaller buffer for a head.
-    Field::defaulted("header_limit_bytes", between(8 * KIB_BYTES, MIB_BYTES)),
-    Field::defaulted("body_limit_bytes", between(KIB_BYTES, 256 * MIB_BYTES)),
-    Field::defaulted("in_progress_limit_requests", between(1, 1_000_000)),
+    // 8 KiB is the smallest header buffer that hyper accepts.
+    Field::defaulted("header_limit_bytes", integer(8 * KIB_BYTES, MIB_BYTES)),
+    Field::defaulted("body_limit_bytes", integer(KIB_BYTES, 256 * MIB_BYTES)),
+    Field::defaulted("in_progress_limit_requests", integer(1, 1_000_000)),
     Field::defaulted(
         "bodies_limit_bytes",
-        between(MIB_BYTES, 64 * 1024 * MIB_BYTES),
+        integer(MIB_BYTES, 64 * 1024 * MIB_BYTES),
     ),
-    Field::defaulted("header_timeout_ms", between(1, HOUR_MS)),
-    Field::defaulted("body_timeout_ms", between(1, HOUR_MS)),
-    Field::defaulted("stream_buffer_frames", between(1, 65_536)),
-    Field::defaulted("stream_stall_timeout_ms", between(1, HOUR_MS)),
-    Field::defaulted("connect_timeout_ms", between(1, MINUTE_MS)),
+    Field::defaulted("header_timeout_ms", integer(1, HOUR_MS)),
+    Field::defaulted("body_timeout_ms", integer(1, HOUR_MS)),
+    Field::defaulted("stream_buffer_frames", integer(1, 65_536)),
+    Field::defaulted("stream_stall_timeout_ms", integer(1, HOUR_MS)),
+    Field::defaulted("connect_timeout_ms", integer(1, MINUTE_MS)),
 ];
 
 const LOGS: &[Field] = &[
@@ -125,11 +125,11 @@
 ];
 
 const PEERS: &[Field] = &[
-    Field::defaulted("heartbeat_ms", between(10, MINUTE_MS)),
-    Field::defaulted("suspect_after_ms", between(20, 10 * MINUTE_MS)),
+    Field::defaulted("heartbeat_ms", integer(10, MINUTE_MS)),
+    Field::defaulted("suspect_after_ms", integer(20, 10 * MINUTE_MS)),
 ];
 
-const fn between(min: u64, max: u64) -> Shape {
+const fn integer(min: u64, max: u64) -> Shape {
     Shape::Integer { min, max }
 }
 
@@ -137,16 +137,16 @@
     Shape::Number { min, max }
 }
 
-/// The addresses that the process itself listens on.
-const OWN_ADDRESSES: [&str; 3] = ["caller_address", "peer_address", "admin_address"];
+/// Keys of the addresses that the process itself listens on.
+const LISTEN_ADDRESS_KEYS: [&str; 3] = ["caller_address", "peer_address", "admin_address"];
 
-fn addresses_differ(root: &Object<'_>, findings: &mut Vec<Finding>) {
+fn listen_addresses_differ(root: &Object<'_>, findings: &mut Vec<Finding>) {
     let mut seen = BTreeMap::new();
-    for key in OWN_ADDRESSES {
+    for key in LISTEN_ADDRESS_KEYS {
         let Some(address) = root.get_string(key) else {
             continue;
         };
-        // Port 0 is another free port each time.
+        // With port 0 the operating system assigns each listener another free port.
         if address.value.ends_with(":0") {
             continue;
         }
@@ -162,7 +162,7 @@
     }
 }
 
-fn suspicion_outlasts_heartbeats(root: &Object<'_>, findings: &mut Vec<Finding>) {
+fn suspicion_spans_two_heartbeats(root: &Object<'_>, findings: &mut Vec<Finding>) {
     let defaults = super::PeerSettings::default();
     let Some(peers) = root.get_object("peers") else {
         return;
@@ -180,17 +180,17 @@
     }
     let what = format!("suspicion after {suspect_after_ms} ms, a heartbeat each {heartbeat_ms} ms");
     let help = "let `suspect_after_ms` be at least twice `heartbeat_ms`";
-    let at_fault = peers
+    let faulty_number = peers
         .get_number("suspect_after_ms")
         .or(peers.get_number("heartbeat_ms"));
     findings.push(Finding {
         path: "peers".to_owned(),
-        range: at_fault.map_or(peers.range, |number| number.range),
+        range: faulty_number.map_or(peers.range, |number| number.range),
         problem: Problem::Conflict { what, help },
     });
 }
 
-fn pauses_are_safe_before_they_break(root: &Object<'_>, findings: &mut Vec<Finding>) {
+fn gap_shares_are_ordered(root: &Object<'_>, findings: &mut Vec<Finding>) {
     let defaults = super::ChoiceOptions::default();
     let gateway = root.get_object("gateway");
     let Some(choice) = gateway.and_then(|gateway| gateway.get_object("choice")) else {
@@ -209,12 +209,12 @@
     }
     let what = format!("a pass is safe up to {safe} of a pause and breaks it from {broken} on");
     let help = "let `safe_gap_share` be less than `broken_gap_share`";
-    let at_fault = choice
+    let faulty_number = choice
         .get_number("safe_gap_share")
         .or(choice.get_number("broken_gap_share"));
     findings.push(Finding {
         path: "gateway.choice".to_owned(),
-        range: at_fault.map_or(choice.range, |number| number.range),
+        range: faulty_number.map_or(choice.range, |number| number.range),
         problem: Problem::Conflict { what, help },
     });
 }
--- a/crates/settings/src/process/read.rs
+++ b/crates/settings/src/process/read.rs
@@ -1,4 +1,4 @@
-//! Reading of the settings file.
+//! Loading of the settings file.
 
 use std::path::Path;
 
@@ -6,11 +6,11 @@
 use super::fields::SCHEMA;
 use crate::check::{self, CheckError, SettingsError};
 
-/// Reads the settings file of a daemon.
+/// Loads and validates the settings file of a daemon.
 ///
 /// # Errors
-/// [`SettingsError::Unreadable`] when there is no such text,
-/// [`SettingsError::Faulty`] with the place of every fault.
+/// [`SettingsError::Unreadable`] if the file can't be opened or is not UTF-8,
+/// [`SettingsError::Faulty`] with the location of every fault.
 pub fn read_daemon_settings(path: &Path) -> Result<DaemonSettings, SettingsError> {
     let text = std::fs::read_to_string(path).map_err(|cause| SettingsError::Unreadable {
         path: path.to_owned(),
@@ -20,10 +20,11 @@
     Ok(settings)
 }
 
-/// Checks the settings of a daemon; `name` stands for the text in the error.
+/// Parses and validates the settings of a daemon; `name` identifies the text in the
+/// error.
 ///
 /// # Errors
-/// [`CheckError`] with the place of every fault.
+/// [`CheckError`] with the location of every fault.
 pub fn check_daemon_settings(name: &str, text: &str) -> Result<DaemonSettings, CheckError> {
     check::read(name, text, &SCHEMA)
 }
--- a/crates/settings/src/published.rs
+++ b/crates/settings/src/published.rs
@@ -1,8 +1,8 @@
 //! The configuration that operators publish.
 //!
-//! Operators steer by classes and their targets. There is no field for a
-//! weight, an instance or an address, and an unknown field is refused, so that
-//! nobody can steer by them.
+//! Operators control the system through classes and their targets. There is no
+//! field for a weight, an instance or an address, and unknown fields are rejected,
+//! so that a configuration can't direct traffic to individual upstreams.
 
 mod check;
 mod fields;
@@ -16,7 +16,7 @@
 
 use crate::ids::{ClassName, ModelName, OrganisationId, ServiceName};
 
-/// One published configuration.
+/// A published configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
@@ -30,29 +30,30 @@
     /// Services by name.
     #[serde(default)]
     pub services: BTreeMap<ServiceName, Service>,
-    /// Rules for orders that may not repeat.
+    /// Handling of calls that must not be repeated.
     #[serde(default)]
     pub idempotency: Idempotency,
 }
 
-/// Targets of one class of work.
+/// Latency targets of one class of work.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Time within which an answer should start, in milliseconds.
+    /// Target for the time to the first token of an answer, in milliseconds.
     pub time_to_first_token_ms: u64,
-    /// Time by which an answer may end later than that, in milliseconds.
+    /// Time after that target by which the request has to finish, in milliseconds.
     pub allowed_delay_ms: u64,
 }
 
 impl Class {
-    /// Time within which an answer should start.
+    /// Target for the time to the first token of an answer.
     #[must_use]
     pub fn time_to_first_token(&self) -> Duration {
         Duration::from_millis(self.time_to_first_token_ms)
     }
 
-    /// Time within which a request finishes or fails: target and allowed delay.
+    /// Time within which a request finishes or fails: the sum of target and allowed
+    /// delay.
     #[must_use]
     pub fn time_limit(&self) -> Duration {
         Duration::from_millis(
@@ -66,33 +67,33 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// Class of requests that name none.
+    /// Class of requests that don't specify one.
     #[serde(default)]
     pub default_class: Option<ClassName>,
 }
 
-/// One model and the ways of its engines.
+/// One model and the properties of its engines.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Whether its engines refuse orders with an old fencing token.
+    /// Whether its engines reject orders with an outdated fencing token.
     #[serde(default)]
     pub fencing: Fencing,
-    /// Version that its engines should serve.
+    /// Version that its engines are to serve.
     #[serde(default)]
     pub version: Option<String>,
-    /// Adapters that its engines should have loaded.
+    /// Adapters that its engines are to have loaded.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
 
-/// What an engine does with the fencing token of an order.
+/// How an engine treats the fencing token of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// Refuses an older token than it has seen.
+    /// Rejects a token older than the newest one it has received.
     Checked,
-    /// Takes any order.
+    /// Accepts orders with any token.
     #[default]
     Ignored,
 }
@@ -101,31 +102,32 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Calls that may not be repeated; each needs an idempotency key.
+    /// Calls that must not be repeated; each needs an idempotency key.
     #[serde(default)]
     pub non_repeatable: Vec<CallPattern>,
 }
 
-/// Which calls of a service a rule is about.
+/// Pattern that matches calls of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallPattern {
     /// HTTP method, in capitals.
     pub method: String,
-    /// Start of the path below the service.
+    /// Prefix of the path, relative to the service.
     pub path_prefix: String,
 }
 
-/// Rules for orders that may not repeat.
+/// Handling of calls that must not be repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Idempotency {
-    /// Time for which a caller may retry a key, in milliseconds.
+    /// Time for which a caller may retry with the same idempotency key, in
+    /// milliseconds.
     #[serde(default = "default_window_ms")]
     pub window_ms: u64,
-    /// Wall-clock time in Unix milliseconds for which an operator vouches that
-    /// no key in use was sent before it; 0 when nobody does. Processes that
-    /// started earlier than that need no records of others.
+    /// Wall-clock time in Unix milliseconds before which, as an operator
+    /// guarantees, no key still in use was sent; 0 if there is no guarantee.
+    /// Processes that started earlier need no records from others.
     #[serde(default)]
     pub first_start_unix_ms: u64,
 }
@@ -144,7 +146,7 @@
 }
 
 impl Idempotency {
-    /// Time for which a caller may retry a key.
+    /// Time for which a caller may retry with the same idempotency key.
     #[must_use]
     pub fn window(&self) -> Duration {
         Duration::from_millis(self.window_ms)
--- a/crates/settings/src/published/check.rs
+++ b/crates/settings/src/published/check.rs
@@ -1,32 +1,33 @@
-//! Checking of a published configuration.
+//! Parsing and validation of a published configuration.
 
 use super::Configuration;
 use super::fields::SCHEMA;
 use crate::check::{self, CheckError};
 
-/// Name that stands for a published text in reports.
+/// Name of a published document in reports.
 const PUBLISHED_NAME: &str = "configuration";
 
-/// Checks a published configuration.
+/// Parses and validates a published configuration.
 ///
 /// # Errors
-/// [`CheckError`] with the place of every fault; it is a miette diagnostic.
+/// [`CheckError`], a miette diagnostic with the location of every fault.
 pub fn check_published(text: &str) -> Result<Configuration, CheckError> {
     check_published_named(PUBLISHED_NAME, text)
 }
 
-/// Checks a published configuration; `name` stands for the text in the error.
+/// Parses and validates a published configuration; `name` identifies the text in
+/// the error.
 ///
 /// # Errors
-/// [`CheckError`] with the place of every fault.
+/// [`CheckError`] with the location of every fault.
 pub fn check_published_named(name: &str, text: &str) -> Result<Configuration, CheckError> {
     check::read(name, text, &SCHEMA)
 }
 
-/// Checks a published configuration for a process that keeps one line of it.
+/// Parses and validates a published configuration; the error fits one log line.
 ///
 /// # Errors
-/// The first fault with its line and column, in one line.
+/// The first fault with its line and column, as one line of text.
 pub fn check_published_one_line(text: &str) -> Result<Configuration, String> {
     check_published(text).map_err(|error| error.one_line())
 }
--- a/crates/settings/src/published/fields.rs
+++ b/crates/settings/src/published/fields.rs
@@ -1,35 +1,38 @@
-//! Table of the configuration's fields and their ranges.
+//! Schema of the published configuration: fields and their ranges.
 
 use std::collections::BTreeSet;
 
 use jsonc_parser::ast::Object;
 
-use crate::check::shape::{Field, Schema, Shape, TextForm};
+use crate::check::shape::{Field, Schema, Shape, TextFormat};
 use crate::check::{Finding, Problem, quote};
 
 const DAY_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// Least and greatest time that an operator may set.
+/// Range of the times that an operator may set.
 const TIME_MS: Shape = Shape::Integer {
     min: 1,
     max: DAY_MS,
 };
 
-/// The published configuration.
+/// Schema of the published configuration.
 pub(super) static SCHEMA: Schema = Schema {
     fields: FIELDS,
-    guard_steering: true,
+    forbids_upstream_keys: true,
     rules: &[default_classes_exist],
 };
 
 const FIELDS: &[Field] = &[
-    Field::required("classes", named(TextForm::Name, &Shape::Object(CLASS))),
+    Field::required("classes", named(TextFormat::Name, &Shape::Object(CLASS))),
     Field::required(
         "organisations",
-        named(TextForm::Name, &Shape::Object(ORGANISATION)),
+        named(TextFormat::Name, &Shape::Object(ORGANISATION)),
     ),
-    Field::defaulted("models", named(TextForm::ModelName, &Shape::Object(MODEL))),
-    Field::defaulted("services", named(TextForm::Name, &Shape::Object(SERVICE))),
+    Field::defaulted(
+        "models",
+        named(TextFormat::ModelName, &Shape::Object(MODEL)),
+    ),
+    Field::defaulted("services", named(TextFormat::Name, &Shape::Object(SERVICE))),
     Field::defaulted("idempotency", Shape::Object(IDEMPOTENCY)),
 ];
 
@@ -40,13 +43,13 @@
 
 const ORGANISATION: &[Field] = &[Field::optional(
     "default_class",
-    Shape::Text(TextForm::Name),
+    Shape::Text(TextFormat::Name),
 )];
 
 const MODEL: &[Field] = &[
     Field::defaulted("fencing", Shape::Choice(&["checked", "ignored"])),
-    Field::optional("version", Shape::Text(TextForm::ModelName)),
-    Field::defaulted("adapters", Shape::List(&Shape::Text(TextForm::ModelName))),
+    Field::optional("version", Shape::Text(TextFormat::ModelName)),
+    Field::defaulted("adapters", Shape::List(&Shape::Text(TextFormat::ModelName))),
 ];
 
 const SERVICE: &[Field] = &[Field::defaulted(
@@ -55,8 +58,8 @@
 )];
 
 const CALL_PATTERN: &[Field] = &[
-    Field::required("method", Shape::Text(TextForm::Method)),
-    Field::required("path_prefix", Shape::Text(TextForm::PathPrefix)),
+    Field::required("method", Shape::Text(TextFormat::Method)),
+    Field::required("path_prefix", Shape::Text(TextFormat::PathPrefix)),
 ];
 
 const IDEMPOTENCY: &[Field] = &[
@@ -70,7 +73,7 @@
     ),
 ];
 
-const fn named(names: TextForm, value: &'static Shape) -> Shape {
+const fn named(names: TextFormat, value: &'static Shape) -> Shape {
     Shape::Map { names, value }
 }
 
--- a/crates/settings/tests/documents.rs
+++ b/crates/settings/tests/documents.rs
@@ -1,4 +1,5 @@
-//! Whole documents: the examples, the page about them, and arbitrary text.
+//! Whole documents: the examples, their description in docs/settings.md, and arbitrary
+//! text.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -13,20 +14,21 @@
 
 const SETTINGS: &str = include_str!("../../../examples/mangofrontd.jsonc");
 const CONFIGURATION: &str = include_str!("../../../examples/configuration.jsonc");
-const PAGE: &str = include_str!("../../../docs/settings.md");
+const SETTINGS_PAGE: &str = include_str!("../../../docs/settings.md");
 
-/// Keys of `value` at every depth, without the names of maps' entries.
+/// Collects the keys of `value` at every depth, except for the names of entries in
+/// `maps`.
 fn field_names(value: &Value, maps: &[&str], names: &mut BTreeSet<String>) {
     match value {
         Value::Object(object) => {
-            for (key, below) in object {
+            for (key, nested) in object {
                 names.insert(key.clone());
-                match below {
+                match nested {
                     Value::Object(map) if maps.contains(&key.as_str()) => {
                         map.values()
                             .for_each(|entry| field_names(entry, maps, names));
                     }
-                    _ => field_names(below, maps, names),
+                    _ => field_names(nested, maps, names),
                 }
             }
         }
@@ -65,20 +67,20 @@
 }
 
 #[test]
-fn each_field_is_on_the_page() {
+fn every_field_is_documented() {
     for document in [SETTINGS, CONFIGURATION] {
         let example = parse_value("example", document).expect("example is JSON");
         for name in fields(&example) {
             assert!(
-                PAGE.contains(&format!("`{name}`")),
-                "{name} is not on the page"
+                SETTINGS_PAGE.contains(&format!("`{name}`")),
+                "{name} is not in docs/settings.md"
             );
         }
     }
 }
 
 #[test]
-fn what_was_written_reads_the_same() {
+fn serialised_documents_parse_to_equal_values() {
     let settings = DaemonSettings::builder("a").stop_limit_ms(9).build();
     let text = serde_json::to_string(&settings).expect("settings are JSON");
     assert_eq!(check_daemon_settings("a", &text).expect("good"), settings);
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn kinds_are_told_apart() {
+fn document_kind_is_detected() {
     assert_eq!(DocumentKind::guess(SETTINGS), DocumentKind::Settings);
     assert_eq!(
         DocumentKind::guess(CONFIGURATION),
@@ -103,59 +105,60 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_unreadable() {
+fn missing_file_is_unreadable() {
     let missing = read_daemon_settings(Path::new("/nonexistent/settings.jsonc"));
     assert!(matches!(missing, Err(SettingsError::Unreadable { .. })));
 }
 
-/// Checking ends without a panic, and a fault lies within the text.
-fn check_ends(text: &str) -> bool {
+/// Checks `text` as both kinds of document. Returns whether each error lists at least
+/// one fault, only faults within the text, and formats as one line.
+fn reports_valid_faults(text: &str) -> bool {
     let lines = text.matches('\n').count() + 1;
     let faults = [
         check_daemon_settings("a", text).err(),
         check_published(text).err(),
     ];
     faults.iter().flatten().all(|error| {
-        let within = error
+        let in_text = error
             .faults()
             .iter()
             .all(|fault| (1..=lines).contains(&fault.line));
-        within && !error.faults().is_empty() && !error.one_line().contains('\n')
+        in_text && !error.faults().is_empty() && !error.one_line().contains('\n')
     })
 }
 
 #[test]
 fn arbitrary_text_never_panics() {
     fn property(text: String) -> bool {
-        check_ends(&text)
+        reports_valid_faults(&text)
     }
     QuickCheck::new()
         .tests(2_000)
         .quickcheck(property as fn(String) -> bool);
 }
 
-/// An example cut and spliced at random: text that is nearly right goes
-/// deeper into the checks than arbitrary text does.
+/// Replaces a random range of an example by random text: an almost valid document
+/// reaches more of the checks than arbitrary text does.
 #[test]
-fn spliced_examples_never_panic() {
+fn mutated_examples_never_panic() {
     fn property(from: usize, to: usize, splice: String, settings: bool) -> TestResult {
         let example = if settings { SETTINGS } else { CONFIGURATION };
         let (from, to) = (from % example.len(), to % example.len());
-        let ends_on_characters = example.is_char_boundary(from) && example.is_char_boundary(to);
-        if from > to || !ends_on_characters {
+        let on_char_boundaries = example.is_char_boundary(from) && example.is_char_boundary(to);
+        if from > to || !on_char_boundaries {
             return TestResult::discard();
         }
         let text = format!("{}{splice}{}", &example[..from], &example[to..]);
-        TestResult::from_bool(check_ends(&text))
+        TestResult::from_bool(reports_valid_faults(&text))
     }
     QuickCheck::new()
         .tests(500)
         .quickcheck(property as fn(usize, usize, String, bool) -> TestResult);
 }
 
-/// A text of a megabyte full of faults is told in a few of them, at once.
+/// Errors stay short for documents with very many faults or very long keys.
 #[test]
-fn very_many_faults_are_cut() {
+fn reported_faults_are_limited() {
     let keys: Vec<_> = (0..100_000).map(|n| format!("\"k{n}\":0")).collect();
     let text = format!("{{{}}}", keys.join(",\n"));
     let error = check_published(&text).expect_err("broken");
@@ -171,6 +174,6 @@
 #[test]
 fn deep_nesting_is_refused() {
     let text = "[".repeat(100_000);
-    assert!(check_ends(&text));
+    assert!(reports_valid_faults(&text));
     assert!(parse_value("deep", &text).is_err());
 }
--- a/crates/settings/tests/reports.rs
+++ b/crates/settings/tests/reports.rs
@@ -1,22 +1,22 @@
-//! Reports of broken documents, as a person reads them.
+//! Reports of invalid documents, as an operator reads them.
 
 use mangofront_settings::check::CheckError;
 use mangofront_settings::process::check_daemon_settings;
 use mangofront_settings::published::{check_published, check_published_one_line};
 use miette::{GraphicalReportHandler, GraphicalTheme};
 
-const WIDTH: usize = 80;
+const WIDTH_COLUMNS: usize = 80;
 
 fn render(error: &CheckError) -> String {
     let mut report = String::new();
     GraphicalReportHandler::new_themed(GraphicalTheme::unicode_nocolor())
-        .with_width(WIDTH)
+        .with_width(WIDTH_COLUMNS)
         .render_report(&mut report, error)
         .expect("rendering to a string");
     report
 }
 
-/// The example settings with `from` replaced by `to`.
+/// Report on the example settings with `from` replaced by `to`.
 fn settings_with(from: &str, to: &str) -> String {
     let example = include_str!("../../../examples/mangofrontd.jsonc");
     assert!(example.contains(from), "the example has no {from}");
@@ -25,7 +25,7 @@
     render(&error)
 }
 
-/// The example configuration with `from` replaced by `to`.
+/// Report on the example configuration with `from` replaced by `to`.
 fn configuration_with(from: &str, to: &str) -> String {
     let example = include_str!("../../../examples/configuration.jsonc");
     assert!(example.contains(from), "the example has no {from}");
@@ -108,9 +108,10 @@
     insta::assert_snapshot!(settings_with("4000", "1900"));
 }
 
-/// Shares that leave nothing between them would weigh every engine the same.
+/// With equal shares, every predicted pass would be either safe or certain to exceed the
+/// gap limit.
 #[test]
-fn pauses_that_break_before_they_are_safe() {
+fn safe_gap_share_not_below_broken_gap_share() {
     let gateway = r#""gateway": { "ready_address": "10.0.0.1:81", "news_address": "10.0.0.1:82",
     "choice": { "safe_gap_share": 1.0 } }"#;
     insta::assert_snapshot!(settings_with("\"gateway\": null", gateway));
@@ -159,7 +160,7 @@
     insta::assert_snapshot!(reason);
 }
 
-/// A report of a text in one long line tells the place and doesn't quote it.
+/// A report on a document in one long line states line and column and quotes nothing.
 #[test]
 fn long_lines_are_not_quoted() {
     let configuration = check_published(include_str!("../../../examples/configuration.jsonc"));
