--- a/crates/configuration/examples/embed.rs
+++ b/crates/configuration/examples/embed.rs
@@ -1,15 +1,15 @@
-//! Smallest use of the configuration floor without the daemon: two processes'
-//! worth of readers, one of which learns from the other.
+//! Minimal use of the crate without the daemon: two platforms, as two processes would have
+//! them, of which the second receives a value from the first.
 //!
-//! No service listens at the address given, as in an outage: all that comes in
-//! comes from peers, and passes the same checks.
+//! No service listens at the given address, as in an outage: all values come from peers and
+//! pass the same checks.
 
 use std::error::Error;
 
 use bytes::Bytes;
 use mangofront_configuration::{Document, Kind, OfferOutcome, Platform, PlatformOptions, Source};
 
-fn reader() -> Result<Platform, Box<dyn Error>> {
+fn start_platform() -> Result<Platform, Box<dyn Error>> {
     let service = "127.0.0.1:9".parse()?;
     let options = PlatformOptions::builder(service)
         .on_change(|change| println!("change: {change}"))
@@ -31,13 +31,13 @@
 
 #[compio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
-    let (first, second) = (reader()?, reader()?);
+    let (first, second) = (start_platform()?, start_platform()?);
     let peer = Source::Peer("entry-9".to_owned());
     let newer = first.offer(document(7, "diagnosis"), peer.clone());
-    // The floor: a service or a peer that is behind undoes nothing.
+    // A lower revision from a service or a peer never replaces a higher one.
     let older = first.offer(document(6, "review"), peer);
     println!("revision 7: {newer:?}, then revision 6: {older:?}");
-    // An embedder's own links would carry the summary and the document.
+    // In a real program, the embedder's own connections transfer summary and document.
     for wanted in second.wants(&first.summary()) {
         let Some(document) = first.document(wanted.kind) else {
             continue;
--- a/crates/configuration/examples/fleet.rs
+++ b/crates/configuration/examples/fleet.rs
@@ -1,9 +1,9 @@
-//! Counts the calls that many readers make to one service: while nothing
-//! changes, while it is down, and when it is back.
+//! Counts the calls that many readers make to one service: while nothing changes, while the
+//! service is down, and after its return.
 //!
-//! `cargo run --release -p mangofront-configuration --example fleet -- 200 30` runs
-//! 200 readers in one process against the emulator, each phase for 30 s. With
-//! `relayed` as third argument no reader holds a watch.
+//! `cargo run --release -p mangofront-configuration --example fleet -- 200 30` runs 200
+//! readers in one process against the emulator, each phase for 30 s. With `relayed` as the
+//! third argument, no reader watches the service.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -16,21 +16,21 @@
 use mangofront_standin::platform::{self, PlatformSettings};
 use serde::Deserialize;
 
-/// Time between two looks at the counters.
-const TICK: Duration = Duration::from_secs(1);
+/// Time between two reads of the counters.
+const COUNTER_INTERVAL: Duration = Duration::from_secs(1);
 
 const CONFIGURATION: &str = r#"{"classes": {}, "organisations": {}}"#;
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-/// What the run was asked to do.
+/// Arguments of the run.
 struct Arguments {
     readers: u64,
     phase: Duration,
     watching: bool,
 }
 
-/// Calls that the service counted.
+/// Numbers of calls that the service counted.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 struct Counters {
     reads: u64,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The service's own switches.
+/// Client of the emulator's control interface.
 struct Control {
     client: cyper::Client,
     address: SocketAddr,
@@ -61,23 +61,23 @@
         Ok(serde_json::from_slice(&answer)?)
     }
 
-    /// Lets a phase pass and prints its calls.
+    /// Waits for the length of a phase and prints its calls.
     async fn phase(&self, name: &str, arguments: &Arguments) -> Result<()> {
         let first = self.counters().await?;
         let mut last = first;
-        let mut most_in_a_second = 0;
+        let mut max_calls_per_second = 0;
         let started = Instant::now();
         while started.elapsed() < arguments.phase {
-            compio::time::sleep(TICK).await;
+            compio::time::sleep(COUNTER_INTERVAL).await;
             let now = self.counters().await?;
-            most_in_a_second = most_in_a_second.max(now.calls() - last.calls());
+            max_calls_per_second = max_calls_per_second.max(now.calls() - last.calls());
             last = now;
         }
         let calls = last.calls() - first.calls();
         let minutes = started.elapsed().as_secs_f64() / 60.0;
-        let a_minute = calls as f64 / minutes / arguments.readers as f64;
+        let calls_per_minute = calls as f64 / minutes / arguments.readers as f64;
         println!(
-            "{name}: {calls} calls, {a_minute:.1} a minute and reader, at most {most_in_a_second} in a second"
+            "{name}: {calls} calls, {calls_per_minute:.1} a minute and reader, at most {max_calls_per_second} in a second"
         );
         Ok(())
     }
@@ -94,17 +94,22 @@
     })
 }
 
-/// Waits until every reader has revision 2, and prints how long that took.
-async fn until_everywhere(readers: &[Platform], limit: Duration) {
+/// Waits until every reader has revision 2, at most for `limit`, and prints the time it
+/// took.
+async fn wait_until_everywhere(readers: &[Platform], limit: Duration) {
     let started = Instant::now();
-    let has_it = |reader: &Platform| reader.configuration().is_some_and(|it| it.revision >= 2);
-    while started.elapsed() < limit && !readers.iter().all(has_it) {
+    let is_updated = |reader: &Platform| {
+        reader
+            .configuration()
+            .is_some_and(|accepted| accepted.revision >= 2)
+    };
+    while started.elapsed() < limit && !readers.iter().all(is_updated) {
         compio::time::sleep(Duration::from_millis(10)).await;
     }
-    let with_it = readers.iter().filter(|reader| has_it(reader)).count();
+    let updated = readers.iter().filter(|reader| is_updated(reader)).count();
     let elapsed = started.elapsed();
     println!(
-        "new revision: at {with_it} of {} readers after {elapsed:.1?}",
+        "new revision: at {updated} of {} readers after {elapsed:.1?}",
         readers.len()
     );
 }
@@ -142,6 +147,6 @@
     control
         .send(http::Method::POST, "", r#"{"down": false}"#)
         .await?;
-    until_everywhere(&readers, 4 * arguments.phase).await;
+    wait_until_everywhere(&readers, 4 * arguments.phase).await;
     control.phase("back", &arguments).await
 }
--- a/crates/configuration/src/accepted.rs
+++ b/crates/configuration/src/accepted.rs
@@ -1,4 +1,4 @@
-//! The values in force, typed.
+//! Typed values in force.
 
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
     pub revision: Revision,
     /// Digest of its value.
     pub digest: Digest,
-    /// What the operators published.
+    /// Configuration that the operators published.
     pub configuration: Configuration,
 }
 
@@ -26,7 +26,7 @@
     pub revision: Revision,
     /// Digest of its value.
     pub digest: Digest,
-    /// What the platform lists; it lags behind the truth.
+    /// Instances that the platform lists; may lag behind the actual ones.
     pub list: InstanceList,
     /// When this process accepted it.
     pub received_at: Instant,
--- a/crates/configuration/src/backoff.rs
+++ b/crates/configuration/src/backoff.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-/// Largest power of two that a pause grows by before the cap is looked at.
-const LARGEST_SHIFT: u32 = 16;
+/// Maximum number of doublings; avoids an overflow before the cap is applied.
+const MAX_DOUBLINGS: u32 = 16;
 
-/// Pauses that double up to a cap; each is drawn from the upper half of its
-/// step, so that processes that failed together don't come back together.
+/// Pauses that double up to a cap. Each is drawn from the upper half of its step, so
+/// that processes that failed at the same time don't retry at the same time.
 #[derive(Debug)]
 pub(crate) struct Backoff {
     base: Duration,
@@ -23,21 +23,21 @@
         }
     }
 
-    /// The next pause.
+    /// Returns the next pause.
     pub(crate) fn next_pause(&mut self) -> Duration {
-        let shift = self.pauses.min(LARGEST_SHIFT);
+        let doublings = self.pauses.min(MAX_DOUBLINGS);
         self.pauses = self.pauses.saturating_add(1);
-        let step = self.base.saturating_mul(1 << shift).min(self.cap);
+        let step = self.base.saturating_mul(1 << doublings).min(self.cap);
         step.mul_f64(rand::random_range(0.5..1.0))
     }
 
-    /// Starts again from the base.
+    /// Restarts from the base.
     pub(crate) fn reset(&mut self) {
         self.pauses = 0;
     }
 }
 
-/// `interval` moved by up to half of itself in either direction.
+/// `interval` lengthened or shortened at random by up to half of it.
 pub(crate) fn jittered(interval: Duration) -> Duration {
     interval.mul_f64(rand::random_range(0.5..1.5))
 }
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -1,4 +1,4 @@
-//! What the rest of the process is told of: changes, refusals, outcomes.
+//! Types that report to the rest of the process: changes, refusals, outcomes.
 
 use std::fmt;
 
@@ -8,52 +8,54 @@
 
 use crate::document::{Digest, Kind, Source};
 
-/// A change worth an entry of the audit trail.
+/// A change to be recorded in the audit trail.
 ///
-/// Told once an episode, not once a poll: a service that serves the same stale
-/// or invalid value for an hour makes one change.
+/// Reported once per episode, not once per call: a service that serves the same stale
+/// or invalid value for an hour causes one change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "change", rename_all = "snake_case")]
 pub enum PlatformChange {
     /// A value came into force.
     Accepted {
-        /// Which value.
+        /// Kind of the value.
         kind: Kind,
         /// Its revision.
         revision: Revision,
         /// Its digest.
         digest: Digest,
-        /// Where it came from.
+        /// Source of the value.
         source: Source,
     },
-    /// A value was refused whole; what was in force stays.
+    /// A value was refused as a whole; the value in force stays.
     Refused {
-        /// Which value.
+        /// Kind of the value.
         kind: Kind,
         /// Its revision.
         revision: Revision,
-        /// Where it came from.
+        /// Source of the value.
         source: Source,
-        /// Why.
+        /// Reason for the refusal.
         reason: Refusal,
     },
-    /// A peer has another value under the revision in force here.
+    /// A peer has another value under the revision that is in force here.
     Diverged {
-        /// Which value.
+        /// Kind of the value.
         kind: Kind,
         /// The revision that both have.
         revision: Revision,
         /// Digest in force here.
-        held: Digest,
+        #[serde(rename = "held")]
+        local_digest: Digest,
         /// Digest in force at the peer.
-        met: Digest,
+        #[serde(rename = "met")]
+        peer_digest: Digest,
     },
     /// The service no longer answers.
     ServiceLost {
-        /// The last failure, with its step and peer.
+        /// The last failure, with the call and the service's address.
         error: String,
     },
-    /// The service answers again.
+    /// The service answers again after it was lost.
     ServiceBack,
 }
 
@@ -61,13 +63,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize)]
 #[serde(tag = "refusal", rename_all = "snake_case")]
 pub enum Refusal {
-    /// Older than what was accepted already.
+    /// Its revision is lower than the one in force.
     #[error("lower than the accepted revision {floor}")]
     Lower {
         /// Revision in force.
         floor: Revision,
     },
-    /// Another value under the revision in force.
+    /// Its revision is in force with another value.
     #[error("another value than the one accepted under this revision")]
     OtherDigest {
         /// Digest in force.
@@ -75,30 +77,30 @@
         /// Digest of the refused value.
         offered: Digest,
     },
-    /// Failed its checks.
+    /// It failed its checks.
     #[error("invalid: {reason}")]
     Invalid {
-        /// What is wrong with it.
+        /// Description of the fault.
         reason: String,
     },
-    /// Longer than a value may be.
+    /// It is longer than a value may be.
     #[error("longer than {limit_bytes} bytes")]
     TooLarge {
-        /// Largest length of a value, in bytes.
+        /// Maximum length of a value, in bytes.
         limit_bytes: usize,
     },
 }
 
-/// What became of a value that was offered.
+/// Outcome of offering a value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is in force now.
+    /// It came into force.
     Accepted,
-    /// It was in force already.
+    /// It was already in force.
     AlreadyHeld,
-    /// It was overtaken on its way; no fault.
+    /// A newer value is already in force; this is not a fault of the source.
     Outdated,
-    /// It was refused; what was in force stays.
+    /// It was refused; the value in force stays.
     Refused(Refusal),
 }
 
@@ -120,11 +122,11 @@
             Self::Diverged {
                 kind,
                 revision,
-                held,
-                met,
+                local_digest,
+                peer_digest,
             } => write!(
                 f,
-                "a peer has another {kind} {revision}: {met:016x}, here {held:016x}"
+                "a peer has another {kind} {revision}: {peer_digest:016x}, here {local_digest:016x}"
             ),
             Self::ServiceLost { error } => write!(f, "service lost: {error}"),
             Self::ServiceBack => f.write_str("service answers again"),
--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -1,18 +1,18 @@
-//! Checks that a published value passes before it may come into force.
+//! Checks that a published value has to pass before it comes into force.
 
 use std::collections::BTreeSet;
 
 use mangofront_settings::instances::InstanceList;
 use mangofront_settings::published::Configuration;
 
-/// Reads and checks the text of a configuration; the error is for a person.
+/// Parses and checks the text of a configuration; the error is a message for operators.
 pub type Checker = fn(&str) -> Result<Configuration, String>;
 
-/// The checks that are used unless the options name others.
+/// Default checker of a configuration.
 ///
 /// # Errors
-/// Tells the first fault: JSON, an unknown field, a class that does not exist,
-/// a time of zero.
+/// Describes the first fault: invalid JSON, an unknown field, a class that does not
+/// exist, or a time of zero.
 pub fn check_configuration(text: &str) -> Result<Configuration, String> {
     let configuration: Configuration =
         serde_json::from_str(text).map_err(|error| error.to_string())?;
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// Reads and checks the text of an instance list.
+/// Parses and checks the text of an instance list.
 pub(crate) fn check_instances(text: &str) -> Result<InstanceList, String> {
     let list: InstanceList = serde_json::from_str(text).map_err(|error| error.to_string())?;
     let mut names = BTreeSet::new();
--- a/crates/configuration/src/verdict.rs
+++ b/crates/configuration/src/decision.rs
@@ -1,19 +1,19 @@
-//! What came of an offered value, and how such outcomes are counted.
+//! Result of offering a value, and counters of such results.
 
 use crate::change::{OfferOutcome, PlatformChange, Refusal};
 use crate::document::Version;
 use crate::options::VALUE_LIMIT_BYTES;
 
-/// What came of an offer.
+/// Result of an offer.
 #[derive(Debug)]
-pub(crate) struct Verdict {
+pub(crate) struct Decision {
     pub(crate) outcome: OfferOutcome,
-    /// What the audit trail should be told, if it was not told before.
+    /// Change to report, unless it was reported before.
     pub(crate) change: Option<PlatformChange>,
 }
 
-impl Verdict {
-    /// An outcome that changes nothing.
+impl Decision {
+    /// An outcome without a change to report.
     pub(crate) fn unchanged(outcome: OfferOutcome) -> Self {
         Self {
             outcome,
@@ -22,19 +22,19 @@
     }
 }
 
-/// Offers by what became of them.
+/// Number of offers by outcome.
 #[derive(Debug, Default)]
-pub(crate) struct Tally {
+pub(crate) struct OfferCounters {
     pub(crate) from_peers: u64,
     pub(crate) refused: u64,
     pub(crate) stale: u64,
 }
 
-/// Refusal of another value under the revision that is held.
-pub(crate) fn other_digest(met: Version, held: Version) -> Refusal {
+/// Refusal of another value under the revision in force.
+pub(crate) fn other_digest(offered_version: Version, current: Version) -> Refusal {
     Refusal::OtherDigest {
-        held: held.digest,
-        offered: met.digest,
+        held: current.digest,
+        offered: offered_version.digest,
     }
 }
 
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! The two published values as they travel: names, versions and raw text.
+//! Types for exchanging the two published values: kinds, versions and raw text.
 
 use std::fmt;
 
@@ -6,10 +6,10 @@
 use mangofront_settings::ids::{InstanceId, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Digest of a value: equal for equal JSON, whatever its spaces and key order.
+/// Digest of a value: equal for equal JSON values, independent of whitespace and key order.
 pub type Digest = u64;
 
-/// Which of the published values.
+/// Kind of a published value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -28,16 +28,16 @@
     }
 }
 
-/// Revision of a value together with what the value is.
+/// Revision of a value and digest of its content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// Revision that the platform gave it.
+    /// Revision that the platform assigned.
     pub revision: Revision,
     /// Digest of the value.
     pub digest: Digest,
 }
 
-/// Versions in force in one process, small enough for every gossip message.
+/// Versions in force in one process; small enough for every gossip message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Summary {
     /// Version of the configuration, if one was accepted.
@@ -57,19 +57,19 @@
     }
 }
 
-/// What a peer has and this process should ask it for.
+/// Value that this process should fetch from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wanted {
-    /// Which value.
+    /// Kind of the value.
     pub kind: Kind,
-    /// Revision that the peer has of it.
+    /// Revision that the peer has.
     pub revision: Revision,
 }
 
-/// A value on its way between daemons.
+/// A value as it is sent between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Which value.
+    /// Kind of the value.
     pub kind: Kind,
     /// Its revision.
     pub revision: Revision,
@@ -77,11 +77,11 @@
     pub body: Bytes,
 }
 
-/// Where a value came from.
+/// Source of a value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
-    /// The platform's own service.
+    /// The platform's service.
     Service,
     /// Another daemon.
     Peer(InstanceId),
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of a call to the platform's service.
+//! Errors of calls to the platform's service.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 use crate::document::Kind;
 
-/// Which call failed.
+/// Call that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadStep {
     /// A plain read of a value.
@@ -27,45 +27,45 @@
     }
 }
 
-/// Why a call brought no answer; each names its step and peer.
+/// Reason why a call had no usable answer; each message names the call and the address.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// Nothing came in time.
+    /// There was no answer in time.
     #[error("{step} at {peer}: no answer within {timeout:?}")]
     TimedOut {
-        /// Which call.
+        /// Call that failed.
         step: ReadStep,
-        /// The service's address.
+        /// Address of the service.
         peer: SocketAddr,
-        /// Time that the call had.
+        /// Time limit of the call.
         timeout: Duration,
     },
-    /// The connection could not be made or broke.
+    /// The connection could not be established or was lost.
     #[error("{step} at {peer}: {reason}")]
     Connection {
-        /// Which call.
+        /// Call that failed.
         step: ReadStep,
-        /// The service's address.
+        /// Address of the service.
         peer: SocketAddr,
-        /// The library's reason.
+        /// Error from the HTTP library.
         reason: String,
     },
-    /// An answer that says that the service can't serve.
+    /// The status of the answer is an error.
     #[error("{step} at {peer}: status {status}")]
     Status {
-        /// Which call.
+        /// Call that failed.
         step: ReadStep,
-        /// The service's address.
+        /// Address of the service.
         peer: SocketAddr,
         /// Status of the answer.
         status: StatusCode,
     },
-    /// An answer without so much as a revision.
+    /// The answer contains no revision.
     #[error("{step} at {peer}: answer has no revision")]
     NoRevision {
-        /// Which call.
+        /// Call that failed.
         step: ReadStep,
-        /// The service's address.
+        /// Address of the service.
         peer: SocketAddr,
     },
 }
--- a/crates/configuration/src/health.rs
+++ b/crates/configuration/src/health.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of the reader.
+//! Status information for operators.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,56 +8,57 @@
 
 use crate::document::Version;
 
-/// State of the reader, for status pages.
+/// Status of the configuration and its calls to the service, for status pages.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PlatformHealth {
     /// Address of the service.
     pub address: SocketAddr,
-    /// Whether this process holds watches, or learns by relay.
+    /// Whether this process watches the service; otherwise changes arrive from peers.
     pub watching: bool,
     /// Time since the service last answered, in milliseconds.
     pub last_contact_ms: Option<u64>,
-    /// Failed calls since then.
+    /// Number of failed calls since then.
     pub consecutive_failures: u64,
-    /// Failed calls since the start.
+    /// Number of failed calls since the start.
     pub failures: u64,
-    /// The last failure, with its step and peer.
+    /// The last failure, with the call and the service's address.
     pub last_failure: Option<String>,
-    /// Plain reads since the start.
+    /// Number of plain reads since the start.
     pub reads: u64,
-    /// Watches since the start.
+    /// Number of watches since the start.
     pub watches: u64,
-    /// Watches that hung past their wait.
+    /// Number of watches that timed out without an answer.
     pub hung_watches: u64,
-    /// State of the configuration.
+    /// Status of the configuration.
     pub configuration: DocumentHealth,
-    /// State of the instance list.
+    /// Status of the instance list.
     pub instances: DocumentHealth,
 }
 
-/// State of one published value.
+/// Status of one published value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct DocumentHealth {
     /// Version in force.
     pub accepted: Option<Version>,
     /// Time since it came into force, in milliseconds.
     pub accepted_for_ms: Option<u64>,
-    /// Revision that the service told last.
-    pub told: Option<Revision>,
-    /// Whether the service serves values below the revision in force; ends
-    /// after a few current answers in a row.
+    /// Revision that the service reported last.
+    #[serde(rename = "told")]
+    pub reported_revision: Option<Revision>,
+    /// Whether the service serves values below the revision in force; reset after a
+    /// few current answers in a row.
     pub service_is_behind: bool,
-    /// Answers of the service refused as stale.
+    /// Number of the service's answers refused as stale.
     pub stale_refused: u64,
-    /// Values refused for another reason.
+    /// Number of values refused for other reasons.
     pub refused: u64,
-    /// Values that came into force from a peer.
+    /// Number of values from peers that came into force.
     pub from_peers: u64,
 }
 
-/// Calls to the service and how they went.
+/// Counters and results of calls to the service.
 #[derive(Debug, Default)]
-pub(crate) struct Contact {
+pub(crate) struct CallStats {
     pub(crate) last: Option<Instant>,
     pub(crate) consecutive_failures: u64,
     pub(crate) failures: u64,
@@ -65,7 +66,7 @@
     pub(crate) reads: u64,
     pub(crate) watches: u64,
     pub(crate) hung_watches: u64,
-    /// Whether the audit trail was told that the service is lost.
+    /// Whether the loss of the service was reported.
     pub(crate) is_lost: bool,
 }
 
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,36 +1,36 @@
-//! Configuration and instance list: read, watch, relay, revision floor.
+//! Reading, watching and relaying of the configuration and the instance list.
 //!
-//! Owns the two values that the platform publishes, as this process accepted
-//! them, and the decision whether a value that arrives is taken. A revision
-//! once accepted is a floor that is never lowered, whoever offers less: a
-//! service that serves stale values can't undo a change, and a fresh process
-//! that met such a service is corrected by its peers.
+//! This crate holds the two values that the platform publishes, as this process
+//! accepted them, and decides whether a newly received value is accepted. Revisions in
+//! force never decrease, whatever the source of a lower one: a service that serves stale
+//! values can't revert a change, and a new process that read from such a service is
+//! corrected by its peers.
 //!
-//! [`Platform`] reads and watches the service by itself. The links between
-//! daemons belong to the `peers` crate: it carries [`Summary`] in its gossip,
-//! asks [`Platform::wants`] what to fetch, and hands over each other's
-//! [`Document`]. Every change goes to the callback of the options as a
-//! [`PlatformChange`]; the daemon connects it to the audit trail. The checks of
-//! a configuration come from the options too, as a plain function.
+//! [`Platform`] reads and watches the service by itself. Connections between daemons
+//! belong to the `peers` crate, which carries each daemon's [`Summary`] in its gossip;
+//! the daemon calls [`Platform::wants`] to find out what to fetch, and daemons send each
+//! other a [`Document`]. Every change is passed to the callback in the options as a
+//! [`PlatformChange`]; the daemon records it in the audit trail. The checker of a
+//! configuration is also given in the options, as a plain function.
 
 mod accepted;
 mod backoff;
 mod change;
 mod check;
+mod decision;
 mod digest;
 mod document;
 mod error;
-mod floor;
 mod health;
 mod options;
 mod pause;
 mod platform;
+mod published_value;
 mod reader;
-mod refusals;
+mod refusal_history;
 mod service;
 mod shared;
 mod staleness;
-mod verdict;
 mod waiters;
 
 pub use accepted::{AcceptedConfiguration, AcceptedInstances};
--- a/crates/configuration/src/options.rs
+++ b/crates/configuration/src/options.rs
@@ -1,20 +1,19 @@
-//! Options of the reader, and the budget of calls that their defaults keep.
+//! Options of [`Platform`](crate::Platform), whose defaults keep to a budget of calls.
 //!
-//! The platform serves about 2,000 calls a second to all its readers together,
-//! and a waiting watch counts as one call. A daemon that watches makes, of each
-//! of the two values, 20 watches and one plain read a minute while nothing
-//! changes; one that learns by relay makes the plain read alone. A change adds
-//! one watch. The short wait is on purpose: a watch that hangs in silence is
-//! found within the wait and its margin, well inside the five seconds in which
-//! a change must be in force.
+//! The platform serves about 2,000 calls a second to all daemons together, and a pending
+//! watch counts as one call. For each of the two values, a daemon that watches makes 20
+//! watches and one plain read per minute while nothing changes; a daemon that receives
+//! values from its peers makes only the plain read. A change adds one watch. The wait of
+//! a watch is short so that a hung watch is detected within the wait and its margin, well
+//! within the five seconds in which a change has to be in force.
 //!
-//! Measured with the example `fleet`, 1,000 readers that all watch, one run:
-//! 40 calls a minute and reader while nothing changes, at most 1,003 calls in
-//! a second; 2,043 in the second in which the service fell, 859 in the one of
-//! its return, and a change everywhere 4.9 s after it. When all start in the
-//! same second they make 2,415, past the budget; those that get 429 pause and
-//! come again. Who watches is the
-//! embedder's choice, [`Platform::set_watching`](crate::Platform::set_watching).
+//! With 1,000 daemons that all watch, one run of the example `fleet` counted 40 calls per
+//! minute and daemon while nothing changed, at most 1,003 calls in a second; 2,043 in the
+//! second in which the service failed and 859 in the second of its return, with a change
+//! in force everywhere 4.9 s after that. If all start in the same second they make 2,415
+//! calls, which exceeds the budget; those that get status 429 pause and retry. Which
+//! daemons watch is decided by the embedder, see
+//! [`Platform::set_watching`](crate::Platform::set_watching).
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -24,41 +23,40 @@
 use crate::change::PlatformChange;
 use crate::check::{Checker, check_configuration};
 
-/// Largest value that is accepted, in bytes.
+/// Maximum length of a value, in bytes.
 pub const VALUE_LIMIT_BYTES: usize = 1024 * 1024;
 
-/// Time that a watch asks the service to wait.
+/// Time for which a watch asks the service to wait for a change.
 pub const DEFAULT_WAIT: Duration = Duration::from_secs(3);
 
-/// Time past its wait after which a watch counts as hung.
+/// Time after the end of its wait at which a watch counts as hung.
 const DEFAULT_WATCH_MARGIN: Duration = Duration::from_secs(1);
 
-/// Longest time of a plain read.
+/// Time limit of a plain read.
 const DEFAULT_READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Mean time between plain reads of one value.
 pub const DEFAULT_PLAIN_INTERVAL: Duration = Duration::from_secs(60);
 
-/// First pause after a failure; so long that daemons that fail in the same
-/// moment make about one call of each value in the second after it.
+/// First pause after a failure; long enough that daemons that fail at the same moment
+/// make about one call for each value in the following second.
 const DEFAULT_BACKOFF_BASE: Duration = Duration::from_secs(1);
 
-/// Longest pause after failures; with it 1,000 watching daemons call a service
-/// that is down some 530 times a second by computation, and have a change 5 s
-/// after its return.
+/// Maximum pause after failures; with it, 1,000 watching daemons make a calculated 530
+/// calls a second to a service that is down, and get a change within 5 s of its return.
 const DEFAULT_BACKOFF_CAP: Duration = Duration::from_secs(5);
 
-/// Published values: configuration and instance list.
-const VALUES: u64 = 2;
+/// Number of published values: configuration and instance list.
+const PUBLISHED_VALUES: u64 = 2;
 
-/// Steady calls a minute of a daemon that watches, both values together.
+/// Calls per minute for both values by a daemon that watches, while nothing changes.
 pub const CALLS_PER_MINUTE_WATCHING: u64 =
-    VALUES * (60 / DEFAULT_WAIT.as_secs() + 60 / DEFAULT_PLAIN_INTERVAL.as_secs());
+    PUBLISHED_VALUES * (60 / DEFAULT_WAIT.as_secs() + 60 / DEFAULT_PLAIN_INTERVAL.as_secs());
 
-/// Steady calls a minute of a daemon that learns by relay, both values together.
-pub const CALLS_PER_MINUTE_RELAYED: u64 = VALUES * 60 / DEFAULT_PLAIN_INTERVAL.as_secs();
+/// Calls per minute for both values by a daemon that doesn't watch.
+pub const CALLS_PER_MINUTE_RELAYED: u64 = PUBLISHED_VALUES * 60 / DEFAULT_PLAIN_INTERVAL.as_secs();
 
-/// Callback that is told each change.
+/// Callback that receives each change.
 pub type OnChange = Rc<dyn Fn(PlatformChange)>;
 
 /// Options of a [`Platform`](crate::Platform).
@@ -77,7 +75,7 @@
 }
 
 impl PlatformOptions {
-    /// Options for the service at `address`, with every default.
+    /// Returns a builder for the service at `address`, with every option at its default.
     pub fn builder(address: SocketAddr) -> PlatformOptionsBuilder {
         PlatformOptionsBuilder(Self {
             address,
@@ -105,65 +103,67 @@
     }
 }
 
-/// Sets options one by one; see [`PlatformOptions::builder`].
+/// Builder of [`PlatformOptions`].
 #[derive(Debug, Clone)]
 #[must_use]
 pub struct PlatformOptionsBuilder(PlatformOptions);
 
 impl PlatformOptionsBuilder {
-    /// Time that a watch asks the service to wait; 3 s by default.
+    /// Sets the time for which a watch asks the service to wait for a change; 3 s by
+    /// default.
     pub fn wait(mut self, wait: Duration) -> Self {
         self.0.wait = wait;
         self
     }
 
-    /// Time past its wait after which a watch counts as hung; 1 s by default.
+    /// Sets the time after the end of its wait at which a watch counts as hung; 1 s by
+    /// default.
     pub fn watch_margin(mut self, margin: Duration) -> Self {
         self.0.watch_margin = margin;
         self
     }
 
-    /// Longest time of a plain read; 2 s by default.
+    /// Sets the time limit of a plain read; 2 s by default.
     pub fn read_timeout(mut self, timeout: Duration) -> Self {
         self.0.read_timeout = timeout;
         self
     }
 
-    /// Mean time between plain reads of one value; 60 s by default.
+    /// Sets the mean time between plain reads of one value; 60 s by default.
     pub fn plain_interval(mut self, interval: Duration) -> Self {
         self.0.plain_interval = interval;
         self
     }
 
-    /// First and longest pause after failures; 1 s and 5 s by default.
+    /// Sets the first and the maximum pause after failures; 1 s and 5 s by default.
     pub fn backoff(mut self, base: Duration, cap: Duration) -> Self {
         self.0.backoff_base = base;
         self.0.backoff_cap = cap;
         self
     }
 
-    /// Whether to hold watches from the start; true by default.
+    /// Sets whether to watch from the start; true by default.
     pub fn watching(mut self, watching: bool) -> Self {
         self.0.watching = watching;
         self
     }
 
-    /// Checks of a configuration; [`check_configuration`] by default.
+    /// Sets the checker of a configuration; [`check_configuration`] by default.
     pub fn checker(mut self, checker: Checker) -> Self {
         self.0.checker = checker;
         self
     }
 
-    /// Callback that is told each change; one that logs by default.
+    /// Sets the callback that receives each change; one that logs by default.
     ///
-    /// It runs on the calling thread between two steps, and may call the
-    /// [`Platform`](crate::Platform).
+    /// It runs on the thread that uses the [`Platform`](crate::Platform), at a point where
+    /// no state is borrowed, and may call the platform's methods.
     pub fn on_change(mut self, on_change: impl Fn(PlatformChange) + 'static) -> Self {
         self.0.on_change = Rc::new(on_change);
         self
     }
 
-    /// The options.
+    /// Returns the options.
     #[must_use]
     pub fn build(self) -> PlatformOptions {
         self.0
--- a/crates/configuration/src/platform.rs
+++ b/crates/configuration/src/platform.rs
@@ -1,4 +1,4 @@
-//! The handle that the rest of the process holds.
+//! The handle to the configuration and the instance list.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -10,41 +10,41 @@
 use crate::accepted::{AcceptedConfiguration, AcceptedInstances};
 use crate::change::OfferOutcome;
 use crate::document::{Document, Kind, Source, Summary, Wanted};
-use crate::floor::Held;
 use crate::health::PlatformHealth;
 use crate::options::PlatformOptions;
+use crate::published_value::Current;
 use crate::reader;
 use crate::shared::Shared;
 
-/// Configuration and instance list of this process; a cheap handle.
+/// Configuration and instance list of this process; a handle that is cheap to clone.
 ///
-/// The reading tasks end when the last handle is dropped.
+/// The background tasks are cancelled when the last handle is dropped.
 #[derive(Debug, Clone)]
 pub struct Platform(Rc<Tasks>);
 
 #[derive(Debug)]
 struct Tasks {
     shared: Rc<Shared>,
-    /// Cancelled by being dropped.
+    /// Cancelled when dropped.
     _running: Vec<JoinHandle<()>>,
 }
 
-/// Revisions that a waiter has seen.
+/// Revisions of both values at one time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Revisions {
-    /// Revision of the configuration, if one was seen.
+    /// Revision of the configuration, if one was in force.
     pub configuration: Option<Revision>,
-    /// Revision of the instance list, if one was seen.
+    /// Revision of the instance list, if one was in force.
     pub instances: Option<Revision>,
 }
 
 impl Platform {
-    /// Starts to read and watch; needs the calling thread's runtime.
+    /// Starts the background tasks on the calling thread's runtime.
     ///
-    /// Nothing is in force until the service or a peer gave something.
+    /// Nothing is in force until the first value arrives from the service or a peer.
     ///
     /// # Errors
-    /// [`ClientError`] when no HTTP client can be made.
+    /// [`ClientError`] if the HTTP client can't be created.
     pub fn start(options: PlatformOptions) -> Result<Self, ClientError> {
         let shared = Rc::new(Shared::new(options, mangofront_http::client()?));
         let running = reader::spawn(&shared);
@@ -57,49 +57,49 @@
     /// The configuration in force.
     #[must_use]
     pub fn configuration(&self) -> Option<Rc<AcceptedConfiguration>> {
-        let floor = self.0.shared.configuration.borrow();
-        floor.held().map(|held| Rc::clone(&held.accepted))
+        let value = self.0.shared.configuration.borrow();
+        value.current().map(|current| Rc::clone(&current.accepted))
     }
 
     /// The instance list in force.
     #[must_use]
     pub fn instances(&self) -> Option<Rc<AcceptedInstances>> {
-        let floor = self.0.shared.instances.borrow();
-        floor.held().map(|held| Rc::clone(&held.accepted))
+        let value = self.0.shared.instances.borrow();
+        value.current().map(|current| Rc::clone(&current.accepted))
     }
 
-    /// Waits until what is in force can be used: at once, unless the process was
-    /// paused; then until the service was read anew, a second at most.
+    /// Waits until the values in force can be used: returns at once, unless the process
+    /// was paused; then waits until the service was read again, at most for a second.
     pub async fn refreshed(&self) {
         self.0.shared.pauses.refreshed().await;
     }
 
-    /// When the process last went on after a pause of more than a second.
+    /// Time at which the process last resumed after a pause of more than a second.
     #[must_use]
     pub fn resumed_at(&self) -> Option<Instant> {
         self.0.shared.pauses.resumed_at()
     }
 
-    /// Revisions in force, to be given to [`Self::changed`].
+    /// Revisions in force; an argument of [`Self::changed`].
     #[must_use]
     pub fn revisions(&self) -> Revisions {
         self.0.shared.revisions()
     }
 
-    /// Resolves once something newer than `seen` is in force; any number of
-    /// tasks may wait.
-    pub async fn changed(&self, seen: Revisions) -> Revisions {
+    /// Waits until the revisions in force differ from `known`, and returns them; any
+    /// number of tasks may wait.
+    pub async fn changed(&self, known: Revisions) -> Revisions {
         loop {
             let now = self.revisions();
-            if now != seen {
+            if now != known {
                 return now;
             }
-            // A dropped sender can only mean another look.
+            // An error means that the sender was dropped; the revisions are checked again.
             let _ = self.0.shared.accepted.next().await;
         }
     }
 
-    /// Versions in force, for the gossip between daemons.
+    /// Versions in force, for gossip between daemons.
     #[must_use]
     pub fn summary(&self) -> Summary {
         Summary {
@@ -108,40 +108,43 @@
         }
     }
 
-    /// What a peer with `summary` has that this process lacks.
+    /// Returns the values that a peer with `summary` has and this process lacks.
     ///
-    /// Tells the callback when the peer has another value under a revision in
-    /// force here; neither gives way, only a higher revision ends that.
+    /// Reports a change if the peer has another value under a revision in force here;
+    /// both keep their values until there is a higher revision.
     #[must_use]
     pub fn wants(&self, summary: &Summary) -> Vec<Wanted> {
         let kinds = [Kind::Configuration, Kind::Instances];
         let wanted = kinds.into_iter().filter_map(|kind| {
-            let met = summary.version(kind)?;
-            self.0.shared.meet(kind, met).then_some(Wanted {
-                kind,
-                revision: met.revision,
-            })
+            let peer_version = summary.version(kind)?;
+            self.0
+                .shared
+                .note_peer_version(kind, peer_version)
+                .then_some(Wanted {
+                    kind,
+                    revision: peer_version.revision,
+                })
         });
         wanted.collect()
     }
 
-    /// The value of `kind` in force, as it goes to a peer.
+    /// The value of `kind` in force, as sent to a peer.
     #[must_use]
     pub fn document(&self, kind: Kind) -> Option<Document> {
         match kind {
-            Kind::Configuration => document(kind, self.0.shared.configuration.borrow().held()),
-            Kind::Instances => document(kind, self.0.shared.instances.borrow().held()),
+            Kind::Configuration => document(kind, self.0.shared.configuration.borrow().current()),
+            Kind::Instances => document(kind, self.0.shared.instances.borrow().current()),
         }
     }
 
-    /// Judges a value that arrived; the checks are the same for every source.
+    /// Offers a value that was received; the checks are the same for every source.
     pub fn offer(&self, document: Document, source: Source) -> OfferOutcome {
-        let floor = self.0.shared.revision(document.kind);
-        self.0.shared.offer(&document, &source, floor)
+        let current_revision = self.0.shared.revision(document.kind);
+        self.0.shared.offer(&document, &source, current_revision)
     }
 
-    /// Starts or ends the watches. A process without them learns by relay, and
-    /// makes a rare plain read.
+    /// Starts or stops watching the service. A process that doesn't watch receives changes
+    /// from its peers, and makes infrequent plain reads.
     pub fn set_watching(&self, watching: bool) {
         let was_watching = self.0.shared.watching.replace(watching);
         if was_watching != watching {
@@ -149,18 +152,18 @@
         }
     }
 
-    /// State of the reader, for status pages.
+    /// Status for operators.
     #[must_use]
     pub fn health(&self) -> PlatformHealth {
         self.0.shared.health()
     }
 }
 
-fn document<A>(kind: Kind, held: Option<&Held<A>>) -> Option<Document> {
-    let held = held?;
+fn document<A>(kind: Kind, current: Option<&Current<A>>) -> Option<Document> {
+    let current = current?;
     Some(Document {
         kind,
-        revision: held.version.revision,
-        body: held.body.clone(),
+        revision: current.version.revision,
+        body: current.body.clone(),
     })
 }
--- a/crates/configuration/src/reader.rs
+++ b/crates/configuration/src/reader.rs
@@ -1,10 +1,9 @@
-//! The tasks that call the service: of each value one that watches and one
-//! that reads plainly at a low rate.
+//! The tasks that call the service: for each value one that watches it and one that makes
+//! infrequent plain reads.
 //!
-//! A watch waits for a revision other than the one that the service told last,
-//! whether that was accepted or refused. So a value that was refused is not
-//! fetched again, and a service that is stale for good costs no more calls
-//! than one that is current.
+//! A watch waits for a revision other than the one that the service reported last,
+//! whether that was accepted or refused. A refused value is therefore not fetched again,
+//! and a service that stays stale causes no more calls than one that is current.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -19,45 +18,45 @@
 use crate::service::{self, Answer, Call, Target};
 use crate::shared::Shared;
 
-/// Longest pause between calls that are answered at once without news, as by
-/// two replicas of the service of which one is stale.
+/// Maximum pause between calls that are answered at once without a new value, as they are
+/// by two replicas of the service of which one is stale.
 const IDLE_ANSWER_CAP: Duration = Duration::from_secs(3);
 
-/// Failures in a row after which the service counts as lost.
+/// Number of failures in a row after which the service counts as lost.
 const LOST_AFTER_FAILURES: u64 = 3;
 
-/// Rate at which a value is read plainly, in bytes a second, so that a large
-/// one doesn't use up a daemon's 6 KB a second.
+/// Maximum average rate of plain reads of one value, in bytes a second, so that a large
+/// value doesn't use up a daemon's limit of 6 KB a second.
 const PLAIN_READ_BYTES_PER_S: u64 = 1024;
 
-/// What a call was good for.
+/// Whether a call made progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// News, or a wait that lasted as it should.
+    /// A new value, or a watch that waited as expected.
     Made,
-    /// An answer at once, without news.
+    /// An immediate answer without a new value.
     None,
 }
 
-/// Starts the reading tasks; dropped handles cancel them.
+/// Starts the tasks; dropping a handle cancels its task.
 pub(crate) fn spawn(shared: &Rc<Shared>) -> Vec<JoinHandle<()>> {
     let kinds = [Kind::Configuration, Kind::Instances];
     let mut running = Vec::new();
     for kind in kinds {
         running.push(compio::runtime::spawn(watch(Rc::clone(shared), kind)));
-        running.push(compio::runtime::spawn(read_plainly(
+        running.push(compio::runtime::spawn(read_periodically(
             Rc::clone(shared),
             kind,
         )));
     }
-    running.push(compio::runtime::spawn(pause::watch(Rc::clone(shared))));
+    running.push(compio::runtime::spawn(pause::monitor(Rc::clone(shared))));
     running
 }
 
-/// Watches `kind` for as long as watching is on.
+/// Watches `kind` while watching is on.
 ///
-/// The first call, and each one after a failure, is a plain read: a watch that
-/// hung or broke says nothing of what is published by now.
+/// The first call and each call after a failure is a plain read, because a watch that
+/// hung or failed doesn't show what is published by now.
 async fn watch(shared: Rc<Shared>, kind: Kind) {
     let options = &shared.options;
     let mut failures = Backoff::new(options.backoff_base, options.backoff_cap);
@@ -65,13 +64,13 @@
     let mut read_next = true;
     let mut was_answered = false;
     loop {
-        shared.watching_on().await;
+        shared.wait_until_watching().await;
         let call = shared.next_call(kind, read_next);
         match shared.make_call(kind, call).await {
             Ok(progress) => {
                 failures.reset();
                 was_answered = true;
-                read_next = shared.told(kind).get().is_none();
+                read_next = shared.reported_revision(kind).get().is_none();
                 if progress == Progress::Made {
                     idle_answers.reset();
                 } else {
@@ -80,9 +79,9 @@
             }
             Err(error) => {
                 read_next = true;
-                let retries_now = needs_no_pause(&error, was_answered);
+                let retries_at_once = may_retry_at_once(&error, was_answered);
                 was_answered = matches!(error, ReadError::Status { .. });
-                if !retries_now {
+                if !retries_at_once {
                     compio::time::sleep(failures.next_pause()).await;
                 }
             }
@@ -90,12 +89,12 @@
     }
 }
 
-/// Whether a plain read may follow `error` at once.
+/// Whether a plain read may follow `error` without a pause.
 ///
-/// A watch that hung took its whole wait already. A connection that broke
-/// after an answer may be one that the service closed while it was idle; the
-/// next failure in a row pauses.
-fn needs_no_pause(error: &ReadError, was_answered: bool) -> bool {
+/// A watch that hung has already taken its full wait. A connection that failed after an
+/// answer may have been closed by the service while idle; the next failure in a row is
+/// followed by a pause.
+fn may_retry_at_once(error: &ReadError, was_answered: bool) -> bool {
     match error {
         ReadError::TimedOut { step, .. } => matches!(step, ReadStep::Watch(_)),
         ReadError::Connection { .. } => was_answered,
@@ -103,20 +102,19 @@
     }
 }
 
-/// Reads `kind` plainly: rarely, but without a pause of that length while
-/// nothing is in force and no watch would fetch it.
-async fn read_plainly(shared: Rc<Shared>, kind: Kind) {
+/// Makes plain reads of `kind`, at long intervals unless nothing is in force and no watch
+/// would fetch a value.
+async fn read_periodically(shared: Rc<Shared>, kind: Kind) {
     let options = &shared.options;
     let mut first_reads = Backoff::new(options.backoff_base, options.backoff_cap);
     loop {
         if shared.watching.get() || shared.revision(kind).is_some() {
             let pause = shared.plain_pause(kind);
-            // Watches that begin or end cut the pause short: what happened
-            // between the two ways of learning must not be missed.
+            // The pause ends early if watching starts or stops, so that a change
+            // around that moment is not missed.
             let _ = compio::time::timeout(pause, shared.watching_changed.next()).await;
         }
-        // A failure is counted where the call is made; the next read comes
-        // after its pause as usual.
+        // `make_call` counts failures; the next read follows after the usual pause.
         let _ = shared.make_call(kind, Call::Read).await;
         if shared.revision(kind).is_none() {
             compio::time::sleep(first_reads.next_pause()).await;
@@ -127,15 +125,15 @@
 }
 
 impl Shared {
-    async fn watching_on(&self) {
+    async fn wait_until_watching(&self) {
         while !self.watching.get() {
-            // A dropped sender can only mean another look.
+            // An error means that the sender was dropped; the flag is checked again.
             let _ = self.watching_changed.next().await;
         }
     }
 
     fn next_call(&self, kind: Kind, read_next: bool) -> Call {
-        match self.told(kind).get() {
+        match self.reported_revision(kind).get() {
             Some(after) if !read_next => Call::Watch {
                 after,
                 wait: self.options.wait,
@@ -144,27 +142,27 @@
         }
     }
 
-    /// Pause before a plain read: jittered, longer for a large value.
+    /// Pause before a plain read, with jitter; longer for a large value.
     fn plain_pause(&self, kind: Kind) -> Duration {
-        let held_bytes = self.held_bytes(kind) as u64;
-        let at_rate = Duration::from_secs(held_bytes / PLAIN_READ_BYTES_PER_S);
+        let current_bytes = self.current_bytes(kind) as u64;
+        let at_rate = Duration::from_secs(current_bytes / PLAIN_READ_BYTES_PER_S);
         jittered(self.options.plain_interval.max(at_rate))
     }
 
-    /// Makes one call, counts it and judges its answer.
+    /// Makes one call, counts it and applies its answer.
     pub(crate) async fn make_call(&self, kind: Kind, call: Call) -> Result<Progress, ReadError> {
         let timeout = self.count_call(call);
         let target = Target {
             address: self.options.address,
             kind,
         };
-        let floor_at_request = self.revision(kind);
+        let revision_at_request = self.revision(kind);
         let sent = Instant::now();
         let result = service::call(&self.client, target, call, timeout).await;
-        self.note_contact(result.as_ref().err());
+        self.note_call_result(result.as_ref().err());
         let answer = result?;
         let is_unchanged = matches!(answer, Answer::Unchanged);
-        let outcome = self.take_answer(kind, answer, floor_at_request);
+        let outcome = self.apply_answer(kind, answer, revision_at_request);
         Ok(match call {
             Call::Read if outcome.is_some() => Progress::Made,
             Call::Watch { wait, .. } if is_unchanged && sent.elapsed() >= wait / 2 => {
@@ -175,57 +173,57 @@
         })
     }
 
-    /// Counts a call and gives the time it has.
+    /// Counts a call and returns its time limit.
     fn count_call(&self, call: Call) -> Duration {
-        let mut contact = self.contact.borrow_mut();
+        let mut call_stats = self.call_stats.borrow_mut();
         match call {
             Call::Read => {
-                contact.reads += 1;
+                call_stats.reads += 1;
                 self.options.read_timeout
             }
             Call::Watch { wait, .. } => {
-                contact.watches += 1;
+                call_stats.watches += 1;
                 wait + self.options.watch_margin
             }
         }
     }
 
-    /// Notes whether the service answered, and tells when that changes.
-    fn note_contact(&self, failure: Option<&ReadError>) {
+    /// Records whether the service answered, and reports it if that changed.
+    fn note_call_result(&self, failure: Option<&ReadError>) {
         let change = match failure {
             Some(error) => self.note_failure(error),
             None => self.note_answer(),
         };
         if let Some(change) = change {
-            self.tell(change);
+            self.notify(change);
         }
     }
 
     fn note_answer(&self) -> Option<PlatformChange> {
-        let mut contact = self.contact.borrow_mut();
-        contact.last = Some(Instant::now());
-        contact.consecutive_failures = 0;
-        let was_lost = std::mem::take(&mut contact.is_lost);
+        let mut call_stats = self.call_stats.borrow_mut();
+        call_stats.last = Some(Instant::now());
+        call_stats.consecutive_failures = 0;
+        let was_lost = std::mem::take(&mut call_stats.is_lost);
         was_lost.then_some(PlatformChange::ServiceBack)
     }
 
     fn note_failure(&self, error: &ReadError) -> Option<PlatformChange> {
         log::debug!("platform: {error}");
-        let mut contact = self.contact.borrow_mut();
-        contact.failures += 1;
-        contact.consecutive_failures += 1;
-        contact.last_failure = Some(error.to_string());
+        let mut call_stats = self.call_stats.borrow_mut();
+        call_stats.failures += 1;
+        call_stats.consecutive_failures += 1;
+        call_stats.last_failure = Some(error.to_string());
         if let ReadError::TimedOut {
             step: ReadStep::Watch(_),
             ..
         } = error
         {
-            contact.hung_watches += 1;
+            call_stats.hung_watches += 1;
         }
-        if contact.is_lost || contact.consecutive_failures < LOST_AFTER_FAILURES {
+        if call_stats.is_lost || call_stats.consecutive_failures < LOST_AFTER_FAILURES {
             return None;
         }
-        contact.is_lost = true;
+        call_stats.is_lost = true;
         Some(PlatformChange::ServiceLost {
             error: error.to_string(),
         })
--- a/crates/configuration/src/refusals.rs
+++ b/crates/configuration/src/refusal_history.rs
@@ -1,4 +1,4 @@
-//! Memory of the values that were refused.
+//! History of refused values.
 
 use std::collections::VecDeque;
 
@@ -7,15 +7,15 @@
 use crate::change::Refusal;
 use crate::document::Digest;
 
-/// Refused values that are remembered, the oldest forgotten first.
-const LIMIT: usize = 8;
+/// Maximum number of remembered values; the oldest is dropped first.
+const MAX_REMEMBERED: usize = 8;
 
-/// The last refused values, so that none is fetched from a peer, checked or
-/// told of twice.
+/// The last refused values, so that none of them is fetched from a peer, checked or
+/// reported twice.
 #[derive(Debug, Default)]
-pub(crate) struct Refusals(VecDeque<Refused>);
+pub(crate) struct RefusalHistory(VecDeque<Refused>);
 
-/// A value that was refused; the digest of one not read whole is unknown.
+/// A refused value; without a digest if it was not read completely.
 #[derive(Debug)]
 struct Refused {
     revision: Revision,
@@ -23,9 +23,9 @@
     reason: Refusal,
 }
 
-impl Refusals {
+impl RefusalHistory {
     pub(crate) fn remember(&mut self, revision: Revision, digest: Option<Digest>, reason: Refusal) {
-        if self.0.len() == LIMIT {
+        if self.0.len() == MAX_REMEMBERED {
             self.0.pop_front();
         }
         self.0.push_back(Refused {
@@ -35,10 +35,10 @@
         });
     }
 
-    /// Why that value was refused, if it was.
+    /// Reason for which the value was refused, if it was.
     pub(crate) fn find(&self, revision: Revision, digest: Option<Digest>) -> Option<&Refusal> {
-        let is_it = |refused: &&Refused| refused.revision == revision && refused.digest == digest;
-        self.0.iter().find(is_it).map(|refused| &refused.reason)
+        let matches = |refused: &&Refused| refused.revision == revision && refused.digest == digest;
+        self.0.iter().find(matches).map(|refused| &refused.reason)
     }
 
     pub(crate) fn contains(&self, revision: Revision, digest: Option<Digest>) -> bool {
--- a/crates/configuration/src/service.rs
+++ b/crates/configuration/src/service.rs
@@ -1,5 +1,5 @@
-//! The platform's dialect of HTTP, see `docs/interfaces.md`; nothing outside
-//! this module knows it.
+//! Client of the platform's HTTP interface, which is described in `docs/interfaces.md`; the
+//! only module that depends on it.
 
 use std::cell::Cell;
 use std::fmt;
@@ -15,49 +15,49 @@
 use serde_json::value::RawValue;
 
 use crate::change::Refusal;
+use crate::decision::too_large;
 use crate::document::Kind;
 use crate::error::{ReadError, ReadStep};
 use crate::options::VALUE_LIMIT_BYTES;
-use crate::verdict::too_large;
 
-/// Room for the revision and the punctuation around a value, in bytes.
+/// Maximum length of an answer besides its value, for revision and punctuation, in bytes.
 const ENVELOPE_LIMIT_BYTES: usize = 4096;
 
 /// One call to the service.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Call {
-    /// The value at once.
+    /// Returns the value at once.
     Read,
-    /// The value as soon as its revision is not `after`.
+    /// Returns the value as soon as its revision differs from `after`.
     Watch {
-        /// Revision that the service told last.
+        /// Revision that the service reported last.
         after: Revision,
-        /// Time that the service may wait.
+        /// Maximum time for which the service waits.
         wait: Duration,
     },
 }
 
-/// What the service answered.
+/// Answer of the service.
 #[derive(Debug)]
 pub(crate) enum Answer {
     /// Nothing changed during the wait.
     Unchanged,
-    /// Nothing was published yet.
+    /// Nothing has been published yet.
     Absent,
-    /// A value's text, not looked into yet.
+    /// The text of a value, not parsed yet.
     Value { revision: Revision, body: Bytes },
-    /// A revision whose value can't be read whole.
+    /// A revision whose value can't be read completely.
     Unreadable { revision: Revision, reason: Refusal },
 }
 
-/// Where a call goes to.
+/// Address and value of a call.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
     pub(crate) kind: Kind,
 }
 
-/// Body of a value's answer.
+/// Body of an answer with a value.
 #[derive(Debug, Deserialize)]
 struct Envelope<'a> {
     revision: Revision,
@@ -65,7 +65,7 @@
     value: &'a RawValue,
 }
 
-/// Makes one call, which ends by `timeout`.
+/// Makes one call with a time limit of `timeout`.
 pub(crate) async fn call(
     client: &cyper::Client,
     target: Target,
@@ -94,13 +94,13 @@
 async fn exchange(client: &cyper::Client, target: Target, call: Call) -> Result<Answer, ReadError> {
     let step = step(target.kind, call);
     let peer = target.address;
-    let broken = |error: cyper::Error| ReadError::Connection {
+    let connection_error = |error: cyper::Error| ReadError::Connection {
         step,
         peer,
         reason: error.to_string(),
     };
-    let request = client.get(url(target, call)).map_err(broken)?;
-    let response = request.send().await.map_err(broken)?;
+    let request = client.get(url(target, call)).map_err(connection_error)?;
+    let response = request.send().await.map_err(connection_error)?;
     match response.status() {
         StatusCode::OK => {}
         StatusCode::NO_CONTENT => return Ok(Answer::Unchanged),
@@ -111,7 +111,7 @@
     let mut content = BytesMut::new();
     let mut chunks = response.bytes_stream();
     while let Some(chunk) = chunks.next().await {
-        content.extend_from_slice(&chunk.map_err(broken)?);
+        content.extend_from_slice(&chunk.map_err(connection_error)?);
         if content.len() > limit_bytes {
             let revision = head_revision(&content);
             let revision = revision.ok_or(ReadError::NoRevision { step, peer })?;
@@ -119,7 +119,7 @@
             return Ok(Answer::Unreadable { revision, reason });
         }
     }
-    open(content.freeze()).ok_or(ReadError::NoRevision { step, peer })
+    unwrap_envelope(content.freeze()).ok_or(ReadError::NoRevision { step, peer })
 }
 
 fn url(target: Target, call: Call) -> String {
@@ -137,8 +137,8 @@
     }
 }
 
-/// Takes the value out of its envelope, without a copy.
-fn open(content: Bytes) -> Option<Answer> {
+/// Extracts the value from its envelope without copying it.
+fn unwrap_envelope(content: Bytes) -> Option<Answer> {
     match serde_json::from_slice::<Envelope<'_>>(&content) {
         Ok(envelope) => Some(Answer::Value {
             revision: envelope.revision,
@@ -153,22 +153,21 @@
     }
 }
 
-/// Revision at the head of an answer whose rest is cut off or no JSON.
+/// Revision at the start of an answer that is truncated or not valid JSON.
 ///
-/// With it such a value is refused once by name, and the next watch waits for
-/// the revision after it; without it the same bytes would be fetched again
-/// and again.
+/// With the revision, such a value is refused once, and the next watch waits for another
+/// revision; without it the same answer would be fetched repeatedly.
 fn head_revision(content: &[u8]) -> Option<Revision> {
     let found = Cell::new(None);
     let mut reader = serde_json::Deserializer::from_slice(content);
-    // The text is known to break off, so the reader's verdict is of no use.
-    let _ = HeadSeed(&found).deserialize(&mut reader);
+    // The text is known to be truncated or invalid, so the result is ignored.
+    let _ = RevisionSeed(&found).deserialize(&mut reader);
     found.get()
 }
 
-struct HeadSeed<'a>(&'a Cell<Option<Revision>>);
+struct RevisionSeed<'a>(&'a Cell<Option<Revision>>);
 
-impl<'de> DeserializeSeed<'de> for HeadSeed<'_> {
+impl<'de> DeserializeSeed<'de> for RevisionSeed<'_> {
     type Value = ();
 
     fn deserialize<D: serde::Deserializer<'de>>(self, reader: D) -> Result<(), D::Error> {
@@ -176,7 +175,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for HeadSeed<'_> {
+impl<'de> Visitor<'de> for RevisionSeed<'_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/configuration/src/shared.rs
+++ b/crates/configuration/src/shared.rs
@@ -1,7 +1,7 @@
-//! What the handle and the reading tasks share: both values and the contact.
+//! State shared by the handle and the background tasks: both values and call statistics.
 //!
-//! No borrow is held over an await or over the callback, so that neither a
-//! task nor the callback can meet a value that is borrowed already.
+//! No borrow is held across an await or a call of the callback, so that neither a task nor
+//! the callback finds a value already borrowed.
 
 use std::cell::{Cell, RefCell};
 use std::time::Instant;
@@ -11,29 +11,29 @@
 use crate::accepted::{AcceptedConfiguration, AcceptedInstances};
 use crate::change::{OfferOutcome, PlatformChange};
 use crate::check::check_instances;
+use crate::decision::Decision;
 use crate::document::{Document, Kind, Source, Version};
-use crate::floor::Floor;
-use crate::health::{Contact, DocumentHealth, PlatformHealth, millis};
+use crate::health::{CallStats, DocumentHealth, PlatformHealth, millis};
 use crate::options::PlatformOptions;
 use crate::pause::Pauses;
 use crate::platform::Revisions;
+use crate::published_value::PublishedValue;
 use crate::service::Answer;
-use crate::verdict::Verdict;
 use crate::waiters::Waiters;
 
-/// State that the handle and the reading tasks share.
+/// State shared by the handle and the background tasks.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) options: PlatformOptions,
     pub(crate) client: cyper::Client,
-    pub(crate) contact: RefCell<Contact>,
+    pub(crate) call_stats: RefCell<CallStats>,
     pub(crate) pauses: Pauses,
     pub(crate) watching: Cell<bool>,
     pub(crate) watching_changed: Waiters,
-    pub(crate) configuration: RefCell<Floor<AcceptedConfiguration>>,
-    pub(crate) instances: RefCell<Floor<AcceptedInstances>>,
-    told_configuration: Cell<Option<Revision>>,
-    told_instances: Cell<Option<Revision>>,
+    pub(crate) configuration: RefCell<PublishedValue<AcceptedConfiguration>>,
+    pub(crate) instances: RefCell<PublishedValue<AcceptedInstances>>,
+    reported_configuration: Cell<Option<Revision>>,
+    reported_instances: Cell<Option<Revision>>,
     pub(crate) accepted: Waiters,
 }
 
@@ -41,14 +41,14 @@
     pub(crate) fn new(options: PlatformOptions, client: cyper::Client) -> Self {
         Self {
             client,
-            contact: RefCell::default(),
+            call_stats: RefCell::default(),
             pauses: Pauses::new(),
             watching: Cell::new(options.watching),
             watching_changed: Waiters::default(),
-            configuration: RefCell::new(Floor::new(Kind::Configuration)),
-            instances: RefCell::new(Floor::new(Kind::Instances)),
-            told_configuration: Cell::new(None),
-            told_instances: Cell::new(None),
+            configuration: RefCell::new(PublishedValue::new(Kind::Configuration)),
+            instances: RefCell::new(PublishedValue::new(Kind::Instances)),
+            reported_configuration: Cell::new(None),
+            reported_instances: Cell::new(None),
             accepted: Waiters::default(),
             options,
         }
@@ -62,9 +62,9 @@
     }
 
     /// Length of the value in force, in bytes.
-    pub(crate) fn held_bytes(&self, kind: Kind) -> usize {
-        fn length<A>(floor: &Floor<A>) -> usize {
-            floor.held().map_or(0, |held| held.body.len())
+    pub(crate) fn current_bytes(&self, kind: Kind) -> usize {
+        fn length<A>(value: &PublishedValue<A>) -> usize {
+            value.current().map_or(0, |current| current.body.len())
         }
         match kind {
             Kind::Configuration => length(&self.configuration.borrow()),
@@ -72,21 +72,22 @@
         }
     }
 
-    /// Revision that the service told last; a watch waits for another one.
-    pub(crate) fn told(&self, kind: Kind) -> &Cell<Option<Revision>> {
+    /// Revision that the service reported last; a watch waits for a different one.
+    pub(crate) fn reported_revision(&self, kind: Kind) -> &Cell<Option<Revision>> {
         match kind {
-            Kind::Configuration => &self.told_configuration,
-            Kind::Instances => &self.told_instances,
+            Kind::Configuration => &self.reported_configuration,
+            Kind::Instances => &self.reported_instances,
         }
     }
 
-    /// Judges an answer of the service to a call made at `floor_at_request`;
-    /// none when it carried no value.
-    pub(crate) fn take_answer(
+    /// Applies an answer of the service; returns `None` if it contained no value.
+    ///
+    /// `revision_at_request` is the revision in force when the call was made.
+    pub(crate) fn apply_answer(
         &self,
         kind: Kind,
         answer: Answer,
-        floor_at_request: Option<Revision>,
+        revision_at_request: Option<Revision>,
     ) -> Option<OfferOutcome> {
         match answer {
             Answer::Absent => None,
@@ -95,41 +96,41 @@
                 None
             }
             Answer::Value { revision, body } => {
-                self.told(kind).set(Some(revision));
+                self.reported_revision(kind).set(Some(revision));
                 let document = Document {
                     kind,
                     revision,
                     body,
                 };
-                Some(self.offer(&document, &Source::Service, floor_at_request))
+                Some(self.offer(&document, &Source::Service, revision_at_request))
             }
             Answer::Unreadable { revision, reason } => {
-                self.told(kind).set(Some(revision));
-                let verdict = match kind {
+                self.reported_revision(kind).set(Some(revision));
+                let decision = match kind {
                     Kind::Configuration => {
-                        let mut floor = self.configuration.borrow_mut();
-                        floor.unreadable(revision, reason, floor_at_request)
+                        let mut value = self.configuration.borrow_mut();
+                        value.refuse_unreadable(revision, reason, revision_at_request)
                     }
                     Kind::Instances => {
-                        let mut floor = self.instances.borrow_mut();
-                        floor.unreadable(revision, reason, floor_at_request)
+                        let mut value = self.instances.borrow_mut();
+                        value.refuse_unreadable(revision, reason, revision_at_request)
                     }
                 };
-                Some(self.publish(verdict))
+                Some(self.publish(decision))
             }
         }
     }
 
     fn note_unchanged(&self, kind: Kind) {
-        let told = self.told(kind).get();
+        let reported = self.reported_revision(kind).get();
         match kind {
-            Kind::Configuration => self.configuration.borrow_mut().unchanged(told),
-            Kind::Instances => self.instances.borrow_mut().unchanged(told),
+            Kind::Configuration => self.configuration.borrow_mut().note_unchanged(reported),
+            Kind::Instances => self.instances.borrow_mut().note_unchanged(reported),
         }
     }
 
-    /// Tells the callback; no borrow may be held, it may call back.
-    pub(crate) fn tell(&self, change: PlatformChange) {
+    /// Calls the callback; no borrow may be held, as it may call the handle's methods.
+    pub(crate) fn notify(&self, change: PlatformChange) {
         (self.options.on_change)(change);
     }
 
@@ -144,85 +145,94 @@
         &self,
         document: &Document,
         source: &Source,
-        floor_at_request: Option<Revision>,
+        revision_at_request: Option<Revision>,
     ) -> OfferOutcome {
-        let verdict = match document.kind {
+        let decision = match document.kind {
             Kind::Configuration => {
                 let checker = self.options.checker;
-                let mut floor = self.configuration.borrow_mut();
-                floor.offer(document, source, floor_at_request, &|version, text| {
+                let mut value = self.configuration.borrow_mut();
+                value.offer(document, source, revision_at_request, &|version, text| {
                     let configuration = checker(text)?;
                     Ok(AcceptedConfiguration::new(version, configuration))
                 })
             }
             Kind::Instances => {
-                let mut floor = self.instances.borrow_mut();
-                floor.offer(document, source, floor_at_request, &|version, text| {
+                let mut value = self.instances.borrow_mut();
+                value.offer(document, source, revision_at_request, &|version, text| {
                     let list = check_instances(text)?;
                     Ok(AcceptedInstances::new(version, list))
                 })
             }
         };
-        self.publish(verdict)
+        self.publish(decision)
     }
 
-    /// Wakes the waiters and tells the callback what a verdict calls for.
-    fn publish(&self, verdict: Verdict) -> OfferOutcome {
-        if verdict.outcome == OfferOutcome::Accepted {
+    /// Wakes the waiters if a value was accepted, and reports the change, if any.
+    fn publish(&self, decision: Decision) -> OfferOutcome {
+        if decision.outcome == OfferOutcome::Accepted {
             self.accepted.wake();
         }
-        if let Some(change) = verdict.change {
-            self.tell(change);
+        if let Some(change) = decision.change {
+            self.notify(change);
         }
-        verdict.outcome
+        decision.outcome
     }
 
-    /// Notes a peer's version; true when it is worth a fetch.
-    pub(crate) fn meet(&self, kind: Kind, met: Version) -> bool {
+    /// Records a peer's version; returns whether its value should be fetched.
+    pub(crate) fn note_peer_version(&self, kind: Kind, peer_version: Version) -> bool {
         let (change, wanted) = match kind {
             Kind::Configuration => {
-                let mut floor = self.configuration.borrow_mut();
-                (floor.meet(met), floor.wants(met))
+                let mut value = self.configuration.borrow_mut();
+                (
+                    value.note_peer_version(peer_version),
+                    value.wants(peer_version),
+                )
             }
             Kind::Instances => {
-                let mut floor = self.instances.borrow_mut();
-                (floor.meet(met), floor.wants(met))
+                let mut value = self.instances.borrow_mut();
+                (
+                    value.note_peer_version(peer_version),
+                    value.wants(peer_version),
+                )
             }
         };
         if let Some(change) = change {
-            self.tell(change);
+            self.notify(change);
         }
         wanted
     }
 
     pub(crate) fn health(&self) -> PlatformHealth {
-        let contact = self.contact.borrow();
+        let call_stats = self.call_stats.borrow();
         PlatformHealth {
             address: self.options.address,
             watching: self.watching.get(),
-            last_contact_ms: contact.last.map(|last| millis(last.elapsed())),
-            consecutive_failures: contact.consecutive_failures,
-            failures: contact.failures,
-            last_failure: contact.last_failure.clone(),
-            reads: contact.reads,
-            watches: contact.watches,
-            hung_watches: contact.hung_watches,
-            configuration: health(&self.configuration.borrow(), self.told_configuration.get()),
-            instances: health(&self.instances.borrow(), self.told_instances.get()),
+            last_contact_ms: call_stats.last.map(|last| millis(last.elapsed())),
+            consecutive_failures: call_stats.consecutive_failures,
+            failures: call_stats.failures,
+            last_failure: call_stats.last_failure.clone(),
+            reads: call_stats.reads,
+            watches: call_stats.watches,
+            hung_watches: call_stats.hung_watches,
+            configuration: health(
+                &self.configuration.borrow(),
+                self.reported_configuration.get(),
+            ),
+            instances: health(&self.instances.borrow(), self.reported_instances.get()),
         }
     }
 }
 
-fn health<A>(floor: &Floor<A>, told: Option<Revision>) -> DocumentHealth {
+fn health<A>(value: &PublishedValue<A>, reported_revision: Option<Revision>) -> DocumentHealth {
     let now = Instant::now();
-    let accepted_at = floor.held().map(|held| held.accepted_at);
+    let accepted_at = value.current().map(|current| current.accepted_at);
     DocumentHealth {
-        accepted: floor.version(),
+        accepted: value.version(),
         accepted_for_ms: accepted_at.map(|at| millis(now.saturating_duration_since(at))),
-        told,
-        service_is_behind: floor.is_behind(),
-        stale_refused: floor.tally.stale,
-        refused: floor.tally.refused,
-        from_peers: floor.tally.from_peers,
+        reported_revision,
+        service_is_behind: value.is_behind(),
+        stale_refused: value.counters.stale,
+        refused: value.counters.refused,
+        from_peers: value.counters.from_peers,
     }
 }
--- a/crates/configuration/src/waiters.rs
+++ b/crates/configuration/src/waiters.rs
@@ -1,10 +1,10 @@
-//! Tasks that wait for a change.
+//! Notification of tasks that wait for a change.
 
 use std::cell::RefCell;
 
 use futures_channel::oneshot;
 
-/// Any number of waiting tasks, all woken by the next change.
+/// Wakes any number of waiting tasks at the next change.
 #[derive(Debug, Default)]
 pub(crate) struct Waiters(RefCell<Vec<oneshot::Sender<()>>>);
 
@@ -13,7 +13,7 @@
     pub(crate) fn next(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         let mut waiting = self.0.borrow_mut();
-        // Waits that were dropped must not pile up between two changes.
+        // Dropped receivers must not accumulate between two changes.
         waiting.retain(|waiting| !waiting.is_canceled());
         waiting.push(sender);
         receiver
@@ -23,7 +23,7 @@
     pub(crate) fn wake(&self) {
         let waiting = self.0.take();
         for sender in waiting {
-            // A wait that was dropped needs no news.
+            // A dropped receiver needs no notification.
             let _ = sender.send(());
         }
     }
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a stand-in of the service, a recorder of changes.
+//! Support of the tests: a stand-in for the service and a recorder of changes.
 #![allow(dead_code, reason = "each test binary uses a part of these")]
 
 use std::cell::RefCell;
@@ -14,19 +14,19 @@
 use mangofront_http::{Shutdown, ShutdownTrigger};
 use mangofront_standin::platform::{self, PlatformSettings};
 
-/// Time after which a state that should come is given up on.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Time within which an expected state has to be reached.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Wait of a watch in the tests.
+/// Time for which a watch waits in the tests.
 pub const WAIT: Duration = Duration::from_millis(200);
 
-/// Longest pause after failures in the tests.
+/// Maximum pause after failures in the tests.
 pub const BACKOFF_CAP: Duration = Duration::from_millis(80);
 
-/// Changes that a platform told of.
+/// Changes that a platform reported.
 pub type Changes = Rc<RefCell<Vec<PlatformChange>>>;
 
-/// Calls that the service counted.
+/// Numbers of calls that the service counted.
 #[derive(Debug, serde::Deserialize)]
 pub struct Counters {
     pub reads: u64,
@@ -41,7 +41,7 @@
 }
 
 impl Standin {
-    /// Starts a service with `configuration` as its first value.
+    /// Starts a service whose first configuration is `configuration`.
     pub async fn start(configuration: &str) -> Self {
         Self::start_at("127.0.0.1:0".parse().expect("address"), configuration).await
     }
@@ -104,7 +104,7 @@
         .backoff(Duration::from_millis(10), BACKOFF_CAP)
 }
 
-/// Starts a platform and records what it tells.
+/// Starts a platform and records the changes it reports.
 pub fn start(options: PlatformOptionsBuilder) -> (Platform, Changes) {
     let changes = Changes::default();
     let recorder = Rc::clone(&changes);
@@ -112,7 +112,7 @@
     (Platform::start(options.build()).expect("client"), changes)
 }
 
-/// Configuration that is told from others by its class's target.
+/// Configuration that is identified by the target of its class.
 pub fn configuration(target_ms: u64) -> String {
     format!(
         r#"{{"classes": {{"diagnosis": {{"time_to_first_token_ms": {target_ms}, "allowed_delay_ms": 5000}}}}, "organisations": {{"tuul": {{"default_class": "diagnosis"}}}}}}"#
@@ -131,7 +131,7 @@
     Source::Peer("hall-b-1".to_owned())
 }
 
-/// Target of the configuration in force, which names it.
+/// Target in the configuration in force, which identifies it.
 pub fn target_ms(platform: &Platform) -> Option<u64> {
     let accepted = platform.configuration()?;
     let class = accepted.configuration.classes.get("diagnosis")?;
@@ -142,26 +142,26 @@
     platform.configuration().map(|accepted| accepted.revision)
 }
 
-/// Waits for a state; fails when it doesn't come.
-pub async fn until(what: &str, reached: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+/// Waits until `reached` returns true; panics if it takes too long.
+pub async fn wait_until(what: &str, reached: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !reached() {
         assert!(Instant::now() < deadline, "never: {what}");
         compio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// The changes of the configuration and the service, a line each.
+/// The changes of the configuration and the service, one per line.
 ///
-/// What a test's address is differs from run to run, so it is left out.
-pub fn story(changes: &Changes, address: SocketAddr) -> String {
+/// The service's address differs from run to run and is replaced by a placeholder.
+pub fn change_log(changes: &Changes, address: SocketAddr) -> String {
     let changes = changes.borrow();
-    let lines = changes.iter().filter(|change| !is_of_instances(change));
+    let lines = changes.iter().filter(|change| !concerns_instances(change));
     let lines: Vec<_> = lines.map(ToString::to_string).collect();
     lines.join("\n").replace(&address.to_string(), "[address]")
 }
 
-fn is_of_instances(change: &PlatformChange) -> bool {
+fn concerns_instances(change: &PlatformChange) -> bool {
     match change {
         PlatformChange::Accepted { kind, .. }
         | PlatformChange::Refused { kind, .. }
--- a/crates/configuration/tests/relay.rs
+++ b/crates/configuration/tests/relay.rs
@@ -1,11 +1,13 @@
-//! Values that travel between daemons.
+//! Relay of values between daemons.
 
 mod common;
 
-use common::{Standin, configuration, document, options, peer, revision, start, target_ms, until};
+use common::{
+    Standin, configuration, document, options, peer, revision, start, target_ms, wait_until,
+};
 use mangofront_configuration::{Kind, OfferOutcome, Platform, PlatformChange, Refusal, Source};
 
-/// One round of gossip: `to` learns what `from` has newer.
+/// One round of gossip: `to` fetches the values that are newer in `from`.
 fn gossip(from: &Platform, to: &Platform) -> Vec<OfferOutcome> {
     let summary = from.summary();
     let wanted = to.wants(&summary).into_iter();
@@ -16,35 +18,35 @@
 }
 
 #[compio::test]
-async fn fresh_process_before_a_stale_service_is_corrected_by_a_peer() {
+async fn fresh_process_with_a_stale_service_is_corrected_by_a_peer() {
     let standin = Standin::start(&configuration(100)).await;
-    let (old, _) = start(options(standin.address));
+    let (current, _) = start(options(standin.address));
     standin.publish(configuration(200)).await;
     standin.publish(configuration(300)).await;
-    until("revision 3", || revision(&old) == Some(3)).await;
+    wait_until("revision 3", || revision(&current) == Some(3)).await;
     standin.control(r#"{"stale": true}"#).await;
     let (fresh, _) = start(options(standin.address));
-    until("the stale value", || revision(&fresh) == Some(1)).await;
-    until("both lists", || {
-        old.instances().is_some() && fresh.instances().is_some()
+    wait_until("the stale value", || revision(&fresh) == Some(1)).await;
+    wait_until("both lists", || {
+        current.instances().is_some() && fresh.instances().is_some()
     })
     .await;
-    assert_eq!(gossip(&old, &fresh), [OfferOutcome::Accepted]);
+    assert_eq!(gossip(&current, &fresh), [OfferOutcome::Accepted]);
     assert_eq!(target_ms(&fresh), Some(300));
-    assert_eq!(gossip(&old, &fresh), []);
-    // The service stays stale; what another part of the fleet learns still
-    // comes by relay.
-    let offered = old.offer(document(4, configuration(400)), peer());
+    assert_eq!(gossip(&current, &fresh), []);
+    // The service stays stale; values that another daemon received still arrive
+    // by relay.
+    let offered = current.offer(document(4, configuration(400)), peer());
     assert_eq!(offered, OfferOutcome::Accepted);
-    assert_eq!(gossip(&old, &fresh), [OfferOutcome::Accepted]);
+    assert_eq!(gossip(&current, &fresh), [OfferOutcome::Accepted]);
     assert_eq!(target_ms(&fresh), Some(400));
     assert_eq!(fresh.health().configuration.from_peers, 2);
-    drop((old, fresh));
+    drop((current, fresh));
     standin.stop().await;
 }
 
 #[compio::test]
-async fn same_checks_for_a_peer_as_for_the_service() {
+async fn values_from_peers_and_the_service_pass_the_same_checks() {
     let (platform, changes) = start(options("127.0.0.1:9".parse().unwrap()).watching(false));
     for source in [Source::Service, peer()] {
         let invalid = platform.offer(document(5, configuration(0)), source.clone());
@@ -54,9 +56,9 @@
         ));
         assert_eq!(revision(&platform), None);
     }
-    assert_eq!(changes.borrow().len(), 1, "told once");
-    let taken = platform.offer(document(6, configuration(600)), peer());
-    assert_eq!(taken, OfferOutcome::Accepted);
+    assert_eq!(changes.borrow().len(), 1, "reported once");
+    let accepted = platform.offer(document(6, configuration(600)), peer());
+    assert_eq!(accepted, OfferOutcome::Accepted);
     let spaced = configuration(600).replace(": ", " :\n ");
     let same = platform.offer(document(6, spaced), peer());
     assert_eq!(same, OfferOutcome::AlreadyHeld);
@@ -64,8 +66,8 @@
     let middle = text.find(r#", "organisations""#).unwrap();
     let classes = &text[1..middle];
     let organisations = &text[middle + 2..text.len() - 1];
-    let turned = format!("{{{organisations}, {classes}}}");
-    let same = platform.offer(document(6, turned), peer());
+    let reordered = format!("{{{organisations}, {classes}}}");
+    let same = platform.offer(document(6, reordered), peer());
     assert_eq!(same, OfferOutcome::AlreadyHeld);
     let lower = platform.offer(document(5, configuration(500)), peer());
     assert_eq!(lower, OfferOutcome::Outdated);
@@ -87,10 +89,10 @@
 }
 
 #[compio::test]
-async fn divergence_between_peers_is_told_once_and_nothing_is_wanted() {
-    let nowhere = "127.0.0.1:9".parse().unwrap();
-    let (one, changes) = start(options(nowhere).watching(false));
-    let (other, _) = start(options(nowhere).watching(false));
+async fn divergence_between_peers_is_reported_once_and_nothing_is_fetched() {
+    let unreachable = "127.0.0.1:9".parse().unwrap();
+    let (one, changes) = start(options(unreachable).watching(false));
+    let (other, _) = start(options(unreachable).watching(false));
     one.offer(document(3, configuration(300)), peer());
     other.offer(document(3, configuration(333)), peer());
     assert_eq!(gossip(&other, &one), []);
@@ -101,11 +103,11 @@
 }
 
 #[compio::test]
-async fn version_that_was_refused_is_not_wanted_again() {
-    let nowhere = "127.0.0.1:9".parse().unwrap();
+async fn refused_version_is_not_fetched_again() {
+    let unreachable = "127.0.0.1:9".parse().unwrap();
     let lax = |text: &str| serde_json::from_str(text).map_err(|error| error.to_string());
-    let (lax, _) = start(options(nowhere).watching(false).checker(lax));
-    let (strict, _) = start(options(nowhere).watching(false));
+    let (lax, _) = start(options(unreachable).watching(false).checker(lax));
+    let (strict, _) = start(options(unreachable).watching(false));
     lax.offer(document(3, configuration(0)), peer());
     assert!(matches!(
         gossip(&lax, &strict)[..],
@@ -115,7 +117,7 @@
 }
 
 #[compio::test]
-async fn instance_list_travels_too_and_is_checked() {
+async fn relayed_instance_list_is_checked() {
     let (platform, _) = start(options("127.0.0.1:9".parse().unwrap()).watching(false));
     let instance = r#"{"instance": "hall-a-1", "region": "ub", "availability_zone": "hall-a", "state": "live", "role": {"kind": "engine", "address": "127.0.0.1:9", "model": "assist-llm"}}"#;
     let list = |instances: &str| {
@@ -123,11 +125,11 @@
         document.kind = Kind::Instances;
         document
     };
-    let doubled = format!("{instance}, {instance}");
-    let refused = platform.offer(list(&doubled), peer());
+    let duplicated = format!("{instance}, {instance}");
+    let refused = platform.offer(list(&duplicated), peer());
     assert!(matches!(refused, OfferOutcome::Refused(_)));
-    let taken = platform.offer(list(instance), peer());
-    assert_eq!(taken, OfferOutcome::Accepted);
+    let accepted = platform.offer(list(instance), peer());
+    assert_eq!(accepted, OfferOutcome::Accepted);
     let instances = platform.instances().unwrap();
     assert_eq!(instances.list.instances[0].availability_zone, "hall-a");
 }
