--- a/crates/gateway/src/published_options.rs
+++ b/crates/gateway/src/published_options.rs
@@ -71,7 +71,7 @@
 impl PublishedOptions {
     /// Options that renew a lease of `key_lease` well before it ends, and have a change
     /// take effect within `change_bound`, which must be at least
-    /// [`LEAST_CHANGE_BOUND`](mangofront_settings::process::LEAST_CHANGE_BOUND).
+    /// [`MIN_CHANGE_BOUND`](mangofront_settings::process::MIN_CHANGE_BOUND).
     ///
     /// The confirmation of a watcher may be as old as one wait and one late answer, and the
     /// next query comes a period later: together half of the lease, so that a single loss
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use mangofront_gateway::{EventFramer, PublishedOptions, RetryBudget, RetryLimit};
-use mangofront_settings::process::LEAST_CHANGE_BOUND;
+use mangofront_settings::process::MIN_CHANGE_BOUND;
 use quickcheck::QuickCheck;
 
 /// Events `1..=count` as an upstream sends them.
@@ -149,7 +149,7 @@
 fn a_change_takes_effect_within_its_bound_for_any_settings() {
     fn property(lease_ms: u16, bound_ms: u16) -> bool {
         let lease = Duration::from_millis(100 + u64::from(lease_ms));
-        let bound = LEAST_CHANGE_BOUND + Duration::from_millis(u64::from(bound_ms));
+        let bound = MIN_CHANGE_BOUND + Duration::from_millis(u64::from(bound_ms));
         let options = PublishedOptions::for_bounds(lease, bound);
         let is_accepted = options.confirmation_age_limit > options.watch_wait;
         is_accepted && options.reaction_bound() <= bound && options.lapse_grace < bound
