--- a/crates/daemon/src/lag.rs
+++ b/crates/daemon/src/lag.rs
@@ -25,7 +25,7 @@
         let due = Instant::now() + LOOK_PERIOD;
         compio::time::sleep_until(due).await;
         let late = due.elapsed();
-        metrics.event_loop_late(late);
+        metrics.event_loop_lateness(late);
         let may_tell = last_told.is_none_or(|at| at.elapsed() >= TELL_PERIOD);
         if late >= TELL_FROM && may_tell {
             last_told = Some(Instant::now());
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -113,7 +113,7 @@
         if let Some(age) = self.0.parts.published.lease().age() {
             metrics.lease_age(age);
         }
-        metrics.departure_late(self.0.parts.published.longest_departure_delay());
+        metrics.departure_lateness(self.0.parts.published.longest_departure_delay());
         let members = self.0.parts.peers.members();
         let live = members.iter().filter(|member| member.state.is_responsive());
         let live = live.count() as u64;
--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -312,7 +312,7 @@
     /// Writes the log line and updates the metrics.
     pub(crate) fn write(&self, metrics: &Metrics) {
         metrics.request_ended(self.route, self.outcome);
-        metrics.request_took(self.route, self.outcome, self.took);
+        metrics.request_duration(self.route, self.outcome, self.took);
         metrics.organisation_ended(self.organisation, self.outcome);
         let disposition = self.disposition();
         if self.prompt_tokens > 0 {
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -87,7 +87,7 @@
     }
 
     /// Records the time from a request's arrival to its end.
-    pub fn request_took(&self, class: &str, outcome: RequestOutcome, took: Duration) {
+    pub fn request_duration(&self, class: &str, outcome: RequestOutcome, took: Duration) {
         let labels = [label("class", class), label("outcome", outcome.name())];
         let histogram = &self.0.instruments.request_duration;
         histogram.record(took.as_secs_f64(), &labels);
@@ -122,13 +122,13 @@
     }
 
     /// Records by how much a timer of the event loop came late.
-    pub fn event_loop_late(&self, late: Duration) {
+    pub fn event_loop_lateness(&self, late: Duration) {
         let histogram = &self.0.instruments.event_loop_lateness;
         histogram.record(late.as_secs_f64(), &[]);
     }
 
     /// Sets the longest time by which others knew of an upstream's departure before.
-    pub fn departure_late(&self, late: Duration) {
+    pub fn departure_lateness(&self, late: Duration) {
         let gauge = &self.0.instruments.departure_lateness;
         gauge.record(late.as_secs_f64(), &[]);
     }
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -31,7 +31,7 @@
     metrics.peers(PeerState::Suspected, 1);
     metrics.control_sent(300);
     metrics.control_received(200);
-    metrics.request_took(
+    metrics.request_duration(
         "diagnosis",
         RequestOutcome::Answered,
         Duration::from_millis(700),
@@ -39,7 +39,7 @@
     metrics.organisation_ended("tuul", RequestOutcome::Answered);
     metrics.attempt_ended("hall-a", "answered");
     metrics.lease_age(Duration::from_millis(250));
-    metrics.event_loop_late(Duration::from_millis(30));
+    metrics.event_loop_lateness(Duration::from_millis(30));
     insta::assert_snapshot!(metrics.render());
     drop(still_open);
 }
