--- a/crates/telemetry/src/invariants.rs
+++ b/crates/telemetry/src/invariants.rs
@@ -1,48 +1,47 @@
-//! Invariants, checked in every build and at all times.
+//! Invariants that are checked at run time in every build.
 //!
-//! A broken invariant is counted, logged with its detail and exported as a
-//! metric. In tests and long randomised runs it also ends the process, so that
-//! the state at fault is still there to be looked at.
+//! A violated invariant is counted, logged with its detail and exported as a
+//! metric. In tests and long randomised runs it also aborts the process, so that
+//! the faulty state can be inspected.
 //!
-//! The counts are the crate's only process-wide state: one static array of
-//! atomics and one flag. A check must be possible in any part without a handle
-//! being passed down to it, and several embedded parts in one process share
-//! one answer to "did anything ever break here".
+//! The counts and the flag are static, so that any component can check an
+//! invariant without being given a handle, and so that all components embedded
+//! in one process share one count of violations.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// One invariant.
+/// An invariant of the system.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// An admitted request finishes or fails within its class's time.
+    /// An admitted request finishes or fails within the time limit of its class.
     RequestWithinClassTime,
-    /// Memory of finished or cancelled work becomes usable again.
+    /// Engine memory of finished or cancelled requests becomes available again.
     MemoryReturned,
-    /// A caller gets the whole answer to its own request and nothing else.
+    /// A caller gets the complete answer to its own request and nothing else.
     OwnAnswerOnly,
-    /// What is told as not run did not run.
+    /// A request that is reported as not run was not run.
     NotRunTrue,
     /// A non-repeatable order runs at most once.
     AtMostOnce,
-    /// A leaving upstream gets no new work after a few seconds.
+    /// A leaving upstream gets no new requests after a few seconds.
     LeavingGetsNoWork,
     /// A graceful shutdown cuts off no request in progress.
     StopCutsNothing,
-    /// The revision of the accepted configuration never falls.
+    /// The revision of an accepted configuration or instance list never decreases.
     ConfigurationFloor,
 }
 
 /// Number of invariants.
 const COUNT: usize = Invariant::ALL.len();
 
-/// Times that each invariant was broken, in the order of [`Invariant::ALL`].
+/// Number of violations of each invariant, in the order of [`Invariant::ALL`].
 static VIOLATIONS: [AtomicU64; COUNT] = [const { AtomicU64::new(0) }; COUNT];
 
-/// Whether a broken invariant ends the process.
+/// Whether a violation aborts the process.
 static FATAL: AtomicBool = AtomicBool::new(false);
 
 impl Invariant {
-    /// Every invariant, in the order of the declaration.
+    /// All invariants, in the order of their declaration.
     pub const ALL: [Self; 8] = [
         Self::RequestWithinClassTime,
         Self::MemoryReturned,
@@ -70,24 +69,24 @@
     }
 }
 
-/// Sets whether a broken invariant ends the process; it doesn't by default.
+/// Sets whether a violation aborts the process; by default it does not.
 pub fn set_fatal(fatal: bool) {
     FATAL.store(fatal, Ordering::Relaxed);
 }
 
-/// Checks that `invariant` holds; returns `holds`, so that a caller can also
-/// record the fault in the audit trail.
+/// Reports a violation of `invariant` unless `holds`; returns `holds`, so that a caller
+/// can also record the violation in the audit trail.
 ///
-/// `detail` is called only when it does not hold. With [`set_fatal`] the
-/// process then aborts.
+/// `detail` is called only for a violation. After `set_fatal(true)` a violation
+/// aborts the process.
 pub fn check(invariant: Invariant, holds: bool, detail: impl FnOnce() -> String) -> bool {
     if !holds {
-        report(invariant, &detail());
+        report_violation(invariant, &detail());
     }
     holds
 }
 
-/// Times that each invariant was broken in this process.
+/// Number of violations of each invariant in this process.
 #[must_use]
 pub fn violations() -> [(Invariant, u64); COUNT] {
     Invariant::ALL.map(|invariant| {
@@ -97,12 +96,12 @@
 }
 
 #[cold]
-fn report(invariant: Invariant, detail: &str) {
+fn report_violation(invariant: Invariant, detail: &str) {
     VIOLATIONS[invariant as usize].fetch_add(1, Ordering::Relaxed);
     let name = invariant.name();
     log::error!("invariants: {name} is broken: {detail}");
     if FATAL.load(Ordering::Relaxed) {
-        // The log may not be set up, or may drop this level.
+        // The log may not be set up, or its level may filter out errors.
         eprintln!("invariants: {name} is broken: {detail}; the process ends");
         std::process::abort();
     }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,11 +1,11 @@
 //! Logs, metrics and always-on invariants.
 //!
-//! Owns how a process tells what it does: the log ([`logs`]), the instruments
-//! and their Prometheus text ([`metrics`]), and the checks of what must always
-//! hold ([`invariants`]). Slices write to the log by the `log` crate with their
-//! own prefix, get a clone of [`metrics::Metrics`], and call
-//! [`invariants::check`] where a point could break. Only the binaries set up
-//! the log and decide whether a broken invariant ends the process.
+//! Owns the observability of a process: the log ([`logs`]), the metrics in
+//! Prometheus text format ([`metrics`]), and the runtime checks of invariants
+//! ([`invariants`]). Other crates log through the `log` crate with a prefix of
+//! their own, record metrics on a clone of [`metrics::Metrics`], and call
+//! [`invariants::check`] where an invariant could be violated. Only the binaries
+//! set up the log and decide whether a violation aborts the process.
 
 pub mod invariants;
 pub mod logs;
--- a/crates/telemetry/src/logs/json.rs
+++ b/crates/telemetry/src/logs/json.rs
@@ -1,4 +1,4 @@
-//! Layout of a structured line: one JSON object.
+//! Layout of structured lines: one JSON object a line.
 
 use logforth::kv::{KeyView, ValueView, Visitor};
 use logforth::layout::text::jiff::Timestamp;
@@ -6,18 +6,18 @@
 use logforth::{Diagnostic, Error, Layout};
 use serde_json::{Map, Value};
 
-/// Time, level, message and the line's own fields, all at one depth.
+/// Writes the time, level, message and fields of a line as one flat JSON object.
 #[derive(Debug)]
-pub(super) struct JsonLine;
+pub(super) struct JsonLayout;
 
-impl Layout for JsonLine {
+impl Layout for JsonLayout {
     fn format(
         &self,
         record: &Record,
         diagnostics: &[Box<dyn Diagnostic>],
     ) -> Result<Vec<u8>, Error> {
         let mut fields = Fields(Map::new());
-        // A clock outside the calendar's range leaves the line without a time.
+        // The time is left out if the clock is outside the range of the calendar.
         if let Ok(time) = Timestamp::try_from(record.time()) {
             fields
                 .0
@@ -32,7 +32,7 @@
             diagnostic.visit(&mut fields)?;
         }
         serde_json::to_vec(&fields.0)
-            .map_err(|error| Error::new("line can't be written").with_source(error))
+            .map_err(|error| Error::new("log line can't be serialised as JSON").with_source(error))
     }
 }
 
--- a/crates/telemetry/src/logs/mod.rs
+++ b/crates/telemetry/src/logs/mod.rs
@@ -1,11 +1,11 @@
-//! The log of a process, by logforth.
+//! Log of a process, implemented with logforth.
 //!
-//! Structured lines, a JSON object each, go to standard output by a bounded
-//! queue (`queue`); lines for a person go to standard error.
+//! Structured lines, each a JSON object, go to standard output through a bounded
+//! queue (`queue`); human-readable lines go to standard error.
 //!
-//! Lines of this workspace are written from the level of the settings on.
-//! Libraries are held to warnings, since their chatter at lower levels is about
-//! single bytes and would drown the short sentences of the slices.
+//! The crates of this workspace log at the level of the settings. Libraries are
+//! limited to warnings, as their output at lower levels is about single bytes
+//! and would hide the messages of the workspace.
 
 mod json;
 mod queue;
@@ -23,14 +23,14 @@
 use mangofront_settings::process::{LogFormat, LogLevel, LogSettings};
 use thiserror::Error as ThisError;
 
-use json::JsonLine;
+use json::JsonLayout;
 use queue::QueueAppend;
 pub use queue::dropped_lines;
 
-/// Start of the targets that are this workspace's own.
+/// Prefix of the log targets of this workspace.
 const OWN_TARGET_PREFIX: &str = "mangofront";
 
-/// Log that could not be set up.
+/// The log could not be set up.
 #[derive(Debug, ThisError)]
 #[error("logs: set-up failed: {0}")]
 pub struct LogsError(String);
@@ -38,12 +38,13 @@
 /// Sets up the log of this process.
 ///
 /// # Errors
-/// [`LogsError`] when the process has a log already.
+/// [`LogsError`] if the process already has a logger, or if the thread that writes the
+/// lines can't be started.
 pub fn init(settings: &LogSettings) -> Result<(), LogsError> {
     let append: Box<dyn Append> = match settings.format {
         LogFormat::Human => Box::new(Stderr::default().with_layout(HumanLayout)),
         LogFormat::Json => Box::new(
-            QueueAppend::start(Box::new(JsonLine), io::stdout())
+            QueueAppend::start(Box::new(JsonLayout), io::stdout())
                 .map_err(|error| LogsError(error.to_string()))?,
         ),
     };
@@ -65,14 +66,14 @@
     }
 }
 
-/// Holds libraries to warnings.
+/// Rejects lines of libraries below the level of warnings.
 #[derive(Debug)]
 struct LibraryFilter;
 
 impl Filter for LibraryFilter {
     fn enabled(&self, criteria: &FilterCriteria, _: &[Box<dyn Diagnostic>]) -> FilterResult {
-        let own = criteria.target().starts_with(OWN_TARGET_PREFIX);
-        if own || criteria.level() >= Level::Warn {
+        let is_own = criteria.target().starts_with(OWN_TARGET_PREFIX);
+        if is_own || criteria.level() >= Level::Warn {
             FilterResult::Neutral
         } else {
             FilterResult::Reject
@@ -80,7 +81,7 @@
     }
 }
 
-/// Layout for a person: time, level, sentence, further values.
+/// Human-readable layout: time, level, message, fields.
 #[derive(Debug)]
 struct HumanLayout;
 
@@ -90,8 +91,8 @@
         record: &Record,
         diagnostics: &[Box<dyn Diagnostic>],
     ) -> Result<Vec<u8>, Error> {
-        let mut line = ValueWriter(String::new());
-        // A clock outside the calendar's range leaves the line without a time.
+        let mut line = FieldWriter(String::new());
+        // The time is left out if the clock is outside the range of the calendar.
         if let Ok(time) = Timestamp::try_from(record.time()) {
             let _ = write!(line.0, "{time:.3} ");
         }
@@ -105,9 +106,9 @@
     }
 }
 
-struct ValueWriter(String);
+struct FieldWriter(String);
 
-impl Visitor for ValueWriter {
+impl Visitor for FieldWriter {
     fn visit(&mut self, key: KeyView, value: ValueView) -> Result<(), Error> {
         // Writing to a string can't fail.
         let _ = write!(self.0, " {key}={value}");
@@ -115,7 +116,7 @@
     }
 }
 
-/// Gives waiting lines a moment to be written; for the end of a process.
+/// Waits for a limited time until queued lines are written; called when the process ends.
 pub fn flush() {
     log::logger().flush();
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,9 +1,8 @@
-//! Instruments of a daemon and their Prometheus text.
+//! Metrics of a daemon in Prometheus text format.
 //!
-//! One [`Metrics`] belongs to one daemon; a clone shares its instruments.
-//! Labels are closed sets, names of published classes, or stable codes, so
-//! that the number of series stays bounded; nothing of a caller's own becomes
-//! a label.
+//! Each daemon has one [`Metrics`]; a clone shares its instruments. Labels come
+//! from closed sets, names of published classes, or stable codes, so that the
+//! number of series stays bounded. Values chosen by callers never become labels.
 
 mod instruments;
 mod labels;
@@ -22,15 +21,15 @@
 pub use labels::{Disposition, PeerState, RequestOutcome};
 pub use mangofront_prompt::LengthBucket;
 
-/// Start of every metric's name.
+/// Prefix of the names of all metrics.
 const NAMESPACE: &str = "mangofront";
 
-/// Metrics that could not be set up.
+/// The metrics could not be set up.
 #[derive(Debug, Error)]
 #[error("metrics: set-up failed: {0}")]
 pub struct MetricsError(String);
 
-/// Instruments of one daemon.
+/// Metrics of one daemon.
 #[derive(Debug, Clone)]
 pub struct Metrics(Arc<Inner>);
 
@@ -38,16 +37,16 @@
 struct Inner {
     registry: Registry,
     instruments: Instruments,
-    organisations: KnownNames,
-    // Instruments record nothing once their provider is gone.
+    organisations: BoundedLabels,
+    // Keeps the provider alive: without it, instruments record nothing.
     _provider: SdkMeterProvider,
 }
 
 impl Metrics {
-    /// Makes the instruments.
+    /// Creates the instruments.
     ///
     /// # Errors
-    /// [`MetricsError`] when the library refuses the exporter.
+    /// [`MetricsError`] if the exporter can't be created.
     pub fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -62,19 +61,19 @@
         Ok(Self(Arc::new(Inner {
             registry,
             instruments,
-            organisations: KnownNames::default(),
+            organisations: BoundedLabels::default(),
             _provider: provider,
         })))
     }
 
-    /// Everything that was recorded, as Prometheus text.
+    /// Returns all recorded metrics in Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         let families = self.0.registry.gather();
         match TextEncoder::new().encode_to_string(&families) {
             Ok(text) => text,
             Err(error) => {
-                log::error!("metrics: text could not be written: {error}");
+                log::error!("metrics: encoding as text failed: {error}");
                 String::new()
             }
         }
@@ -95,10 +94,10 @@
 
     /// Counts a request of an organisation that ended.
     ///
-    /// Beyond the first few dozen organisations all count as `other`, so that the
-    /// number of series stays bounded.
+    /// Only the first few dozen organisations have a label of their own; all others count
+    /// as `other`, so that the number of series stays bounded.
     pub fn organisation_ended(&self, organisation: &str, outcome: RequestOutcome) {
-        let name = self.0.organisations.name(organisation);
+        let name = self.0.organisations.label_of(organisation);
         let labels = [
             label("organisation", name),
             label("outcome", outcome.name()),
@@ -115,19 +114,20 @@
         self.0.instruments.upstream_attempts.add(1, &labels);
     }
 
-    /// Sets how long ago what is published was known to be in force.
+    /// Sets the time since the published state was last known to be current.
     pub fn lease_age(&self, age: Duration) {
         let gauge = &self.0.instruments.lease_age;
         gauge.record(age.as_secs_f64(), &[]);
     }
 
-    /// Records by how much a timer of the event loop came late.
+    /// Records the delay of a timer of the event loop.
     pub fn event_loop_lateness(&self, late: Duration) {
         let histogram = &self.0.instruments.event_loop_lateness;
         histogram.record(late.as_secs_f64(), &[]);
     }
 
-    /// Sets the longest time by which others knew of an upstream's departure before.
+    /// Sets the longest delay with which this daemon learned of an upstream's departure,
+    /// compared with other daemons.
     pub fn departure_lateness(&self, late: Duration) {
         let gauge = &self.0.instruments.departure_lateness;
         gauge.record(late.as_secs_f64(), &[]);
@@ -142,8 +142,8 @@
 
     /// Counts a prompt that ended, by its size.
     ///
-    /// The counts of all daemons add up, so that the share of any size of a class that
-    /// was served can be read off them.
+    /// The counts of all daemons can be added up to give the fraction of prompts that was
+    /// served, for each class and size.
     pub fn prompt_ended(&self, class: &str, prompt_tokens: u64, disposition: Disposition) {
         let labels = [
             label("class", class),
@@ -153,92 +153,94 @@
         self.0.instruments.prompts.add(1, &labels);
     }
 
-    /// Counts a stream as in flight until the guard is dropped.
+    /// Counts a stream as in flight until the returned guard is dropped.
     pub fn stream_started(&self) -> InFlightStream {
         self.0.instruments.in_flight_streams.add(1, &[]);
         InFlightStream(self.clone())
     }
 
-    /// Counts tokens passed on to a caller.
+    /// Counts tokens forwarded to a caller.
     pub fn tokens_relayed(&self, tokens: u64) {
         self.0.instruments.tokens_relayed.add(tokens, &[]);
     }
 
-    /// Counts a refused request; `reason` is the error body's code.
+    /// Counts a refused request; `reason` is the code in the error body.
     pub fn refused(&self, reason: &'static str) {
         let labels = [label("reason", reason)];
         self.0.instruments.refusals.add(1, &labels);
     }
 
-    /// Counts an attempt after the first one.
+    /// Counts an attempt after a request's first one.
     pub fn retried(&self) {
         self.0.instruments.retries.add(1, &[]);
     }
 
-    /// Counts an upstream that crashed under a request.
+    /// Counts an upstream that crashed while running a request.
     pub fn upstream_crashed(&self) {
         self.0.instruments.upstream_crashes.add(1, &[]);
     }
 
-    /// Sets how many requests are kept from all upstreams, as too many crashed under them.
+    /// Sets the number of quarantined requests: too many upstreams crashed while running
+    /// them, so they are sent to none.
     pub fn quarantined(&self, count: u64) {
         self.0.instruments.quarantined.record(count, &[]);
     }
 
-    /// Counts a fault of an upstream at `step`.
+    /// Counts an error of an upstream at `step`.
     pub fn upstream_error(&self, step: &'static str) {
         let labels = [label("step", step)];
         self.0.instruments.upstream_errors.add(1, &labels);
     }
 
-    /// Sets how many other daemons are in `state`.
+    /// Sets the number of other daemons in `state`.
     pub fn peers(&self, state: PeerState, count: u64) {
         let labels = [label("state", state.name())];
         self.0.instruments.peers.record(count, &labels);
     }
 
-    /// Counts bytes sent for control: peers, platform and reports.
+    /// Counts bytes of control traffic sent to other daemons and to engines.
     pub fn control_sent(&self, bytes: u64) {
         self.0.instruments.control_sent.add(bytes, &[]);
     }
 
-    /// Counts bytes received for control.
+    /// Counts bytes of control traffic received from other daemons and from engines.
     pub fn control_received(&self, bytes: u64) {
         self.0.instruments.control_received.add(bytes, &[]);
     }
 }
 
-/// Least size of a prompt that is told apart, in tokens.
-const LEAST_SIZE_TOKENS: u64 = 1_024;
+/// Upper limit of the smallest size class of prompts, in tokens.
+const MIN_SIZE_LIMIT_TOKENS: u64 = 1_024;
 
-/// Size from which on prompts are told apart no more, in tokens.
-const LARGEST_SIZE_TOKENS: u64 = 2_097_152;
+/// Upper limit of the largest size class, which also holds all longer prompts, in tokens.
+const MAX_SIZE_LIMIT_TOKENS: u64 = 2_097_152;
 
-/// Upper limit of a prompt's size among powers of two and the middles between them, in
-/// tokens.
+/// Upper limit of a prompt's size class, in tokens. The limits are the powers of two and
+/// the midpoints between them.
 fn size_limit_tokens(prompt_tokens: u64) -> u64 {
     let power = prompt_tokens
-        .clamp(LEAST_SIZE_TOKENS, LARGEST_SIZE_TOKENS)
+        .clamp(MIN_SIZE_LIMIT_TOKENS, MAX_SIZE_LIMIT_TOKENS)
         .next_power_of_two();
-    let middle = power / 4 * 3;
-    match prompt_tokens <= middle && middle > LEAST_SIZE_TOKENS {
-        true => middle,
+    let midpoint = power / 4 * 3;
+    match prompt_tokens <= midpoint && midpoint > MIN_SIZE_LIMIT_TOKENS {
+        true => midpoint,
         false => power,
     }
 }
 
-/// Organisations that have series of their own.
-const ORGANISATIONS_LIMIT: usize = 48;
+/// Number of organisations that have series of their own.
+const MAX_ORGANISATIONS: usize = 48;
 
-/// The first names seen; all later ones count as one.
+/// Set of the first names seen; all later ones share one label.
 #[derive(Debug, Default)]
-struct KnownNames(Mutex<BTreeSet<String>>);
+struct BoundedLabels(Mutex<BTreeSet<String>>);
 
-impl KnownNames {
-    fn name(&self, name: &str) -> String {
+impl BoundedLabels {
+    /// Label of `name`: the name itself, or `other` once the set is full.
+    fn label_of(&self, name: &str) -> String {
         let mut known = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if !known.contains(name) {
-            if known.len() >= ORGANISATIONS_LIMIT {
+            if known.len() >= MAX_ORGANISATIONS {
                 return "other".to_owned();
             }
             known.insert(name.to_owned());
@@ -247,7 +249,7 @@
     }
 }
 
-/// One stream in flight.
+/// Guard that counts one stream as in flight.
 #[derive(Debug)]
 #[must_use = "the stream counts as ended once this is dropped"]
 pub struct InFlightStream(Metrics);
--- a/crates/telemetry/src/metrics/instruments.rs
+++ b/crates/telemetry/src/metrics/instruments.rs
@@ -1,20 +1,21 @@
-//! The instruments, with names, units and bounds.
+//! Definitions of the instruments: names, units and histogram bounds.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter, UpDownCounter};
 
 use crate::{invariants, logs};
 
-/// Upper bounds of the time to first token, in seconds: from an idle engine's
-/// start on a short prompt up to a class that may wait ten minutes.
-const FIRST_TOKEN_BOUNDS_S: [f64; 16] = [
+/// Histogram bounds of the time to first token and of the request duration, in seconds:
+/// from a short prompt on an idle engine up to a class that may wait ten minutes.
+const LATENCY_BOUNDS_S: [f64; 16] = [
     0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.52, 0.75, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 180.0, 600.0,
 ];
 
-/// Upper bounds of the event loop's lateness, in seconds: from a calm process up to one
-/// that callers take for dead.
+/// Histogram bounds of the event loop's lateness, in seconds: from an idle process up to
+/// one that callers consider dead.
 const LATENESS_BOUNDS_S: [f64; 9] = [0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 5.0];
 
+/// Instruments of one daemon.
 #[derive(Debug)]
 pub(super) struct Instruments {
     pub(super) requests: Counter<u64>,
@@ -46,8 +47,8 @@
                 .with_description(description)
                 .build()
         };
-        observe_violations(meter);
-        observe_dropped_lines(meter);
+        register_violations(meter);
+        register_dropped_lines(meter);
         Self {
             requests: counter("requests", "Requests that ended, by class and outcome"),
             prompts: counter(
@@ -58,7 +59,7 @@
                 .f64_histogram("time_to_first_token")
                 .with_description("Time from a request's arrival to its first token")
                 .with_unit("s")
-                .with_boundaries(FIRST_TOKEN_BOUNDS_S.to_vec())
+                .with_boundaries(LATENCY_BOUNDS_S.to_vec())
                 .build(),
             in_flight_streams: meter
                 .i64_up_down_counter("in_flight_streams")
@@ -80,7 +81,7 @@
                 .f64_histogram("request_duration")
                 .with_description("Time from a request's arrival to its end, by class and outcome")
                 .with_unit("s")
-                .with_boundaries(FIRST_TOKEN_BOUNDS_S.to_vec())
+                .with_boundaries(LATENCY_BOUNDS_S.to_vec())
                 .build(),
             organisation_requests: counter(
                 "organisation_requests",
@@ -118,10 +119,10 @@
     }
 }
 
-/// The counts stand in a static array, so they are read at each scrape. A
-/// series is there from the start, also while its count is 0.
-fn observe_violations(meter: &Meter) {
-    // The meter keeps the callback; the handle itself does nothing more.
+/// Registers a counter that reads the static counts of violations at each scrape. Each
+/// series exists from the start, even while its count is 0.
+fn register_violations(meter: &Meter) {
+    // The meter keeps the callback, so the returned handle is not needed.
     let _ = meter
         .u64_observable_counter("invariant_violations")
         .with_description("Times that an invariant was broken")
@@ -133,9 +134,9 @@
         .build();
 }
 
-/// The count is the whole process's, as the log is.
-fn observe_dropped_lines(meter: &Meter) {
-    // The meter keeps the callback; the handle itself does nothing more.
+/// Registers a counter of dropped log lines. It covers the whole process, as the log does.
+fn register_dropped_lines(meter: &Meter) {
+    // The meter keeps the callback, so the returned handle is not needed.
     let _ = meter
         .u64_observable_counter("log_lines_dropped")
         .with_description("Lines of the log that were dropped")
--- a/crates/telemetry/src/metrics/labels.rs
+++ b/crates/telemetry/src/metrics/labels.rs
@@ -1,17 +1,17 @@
-//! Closed sets that stand as labels.
+//! Closed sets of label values.
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The caller got the whole answer.
+    /// The caller got the complete answer.
     Answered,
-    /// Nothing of it was run.
+    /// No upstream ran it.
     NotRun,
-    /// It was started and ended without a whole answer.
+    /// It was started and ended without a complete answer.
     Failed,
-    /// It may have run.
+    /// It may or may not have run.
     Unknown,
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
 }
 
@@ -29,26 +29,27 @@
     }
 }
 
-/// What a caller got of a prompt of one size.
+/// How a prompt was served, or why it was not.
 ///
-/// Tells apart why one was not served, which [`RequestOutcome`] does not.
+/// Unlike [`RequestOutcome`], distinguishes the reasons for which a prompt is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disposition {
-    /// The first event came within the target.
+    /// Served; the first event arrived within the latency target.
     ServedInTime,
-    /// It was served, and the first event came after the target.
+    /// Served; the first event arrived after the latency target.
     ServedLate,
-    /// Refused for load as it came.
+    /// Refused on arrival because of the load.
     RefusedAtArrival,
-    /// Refused for load after it was held back.
+    /// Refused because of the load after it had waited.
     RefusedAfterWait,
-    /// Refused for another reason: no memory, no slot, all upstreams tried.
+    /// Refused for another reason, such as no free memory, no free slot, or no upstream
+    /// left to try.
     RefusedOtherwise,
-    /// The caller went away.
+    /// The caller disconnected.
     Left,
-    /// The answer broke off.
+    /// The answer ended before it was complete.
     BrokenOff,
-    /// It may have run and no answer came.
+    /// No answer arrived, although an upstream may have run it.
     Unanswered,
 }
 
@@ -69,18 +70,19 @@
     }
 }
 
-/// What is known of another daemon.
+/// State of another daemon as a label.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerState {
-    /// Heard within its time.
+    /// Heartbeats arrive in time.
     Live,
-    /// Silent for too long.
+    /// No heartbeat arrived for too long.
     Suspected,
-    /// Told that it stops, or taken for gone.
+    /// It announced its shutdown, or is considered dead.
     Left,
 }
 
 impl PeerState {
+    /// Name in metrics.
     pub(super) const fn name(self) -> &'static str {
         match self {
             Self::Live => "live",
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The Prometheus text of a daemon.
+//! Metrics of a daemon in Prometheus text format.
 
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn two_daemons_in_one_process_have_their_own() {
+fn daemons_in_one_process_have_separate_metrics() {
     let (first, second) = (
         Metrics::new().expect("metrics"),
         Metrics::new().expect("metrics"),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn organisations_past_the_limit_count_as_one() {
+fn organisations_beyond_the_limit_share_a_series() {
     let metrics = Metrics::new().expect("metrics");
     for number in 0..60 {
         metrics.organisation_ended(&format!("org-{number:02}"), RequestOutcome::Answered);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn lengths_fall_into_their_range() {
+fn lengths_map_to_their_bucket() {
     let of = LengthBucket::of;
     assert_eq!([of(0), of(4_000)], [LengthBucket::UpTo4k; 2]);
     assert_eq!([of(4_001), of(16_000)], [LengthBucket::UpTo16k; 2]);
--- a/crates/telemetry/tests/processes.rs
+++ b/crates/telemetry/tests/processes.rs
@@ -1,5 +1,5 @@
-//! What touches a whole process: its log and its invariants. Each test runs
-//! this binary again as a child with one role, and looks at what it left.
+//! Tests of process-wide state: the log and the invariants. Each test runs this
+//! binary again as a child process with one role and checks its output.
 
 use std::io::{BufRead, BufReader, Read};
 use std::os::fd::OwnedFd;
@@ -15,14 +15,14 @@
 
 const ROLE: &str = "MANGOFRONT_TEST_ROLE";
 
-/// How long a child waits until its output takes no more.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest time that a child waits until its output is full.
+const OUTPUT_FULL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a child says once its output takes no more.
-const FULL: &str = "the output is full";
+/// Line that a child writes to standard error once its output is full.
+const OUTPUT_FULL: &str = "the output is full";
 
-/// The test `child` of this binary with `role` in its environment.
-fn command(role: &str) -> Command {
+/// Command that runs the test `child` of this binary with `role` in its environment.
+fn child_command(role: &str) -> Command {
     let binary = std::env::current_exe().expect("path of this binary");
     let mut command = Command::new(binary);
     command
@@ -31,26 +31,26 @@
     command
 }
 
-fn run(role: &str) -> Output {
-    command(role).output().expect("child runs")
+fn run_child(role: &str) -> Output {
+    child_command(role).output().expect("child runs")
 }
 
 fn stderr(output: &Output) -> String {
     String::from_utf8(output.stderr.clone()).expect("text")
 }
 
-/// The roles; without one there is nothing to do.
+/// Entry point of the child processes; does nothing without a role.
 #[test]
 fn child() {
     match std::env::var(ROLE).as_deref() {
         Ok("human") => write_lines(LogLevel::Info, LogFormat::Human),
         Ok("json") => write_lines(LogLevel::Debug, LogFormat::Json),
-        Ok("flood") => write_too_much(),
-        Ok("stalled") => write_past_a_stall(),
-        Ok("counted") => break_twice(),
+        Ok("flood") => write_flood(),
+        Ok("stalled") => write_to_stalled_output(),
+        Ok("counted") => violate_twice(),
         Ok("fatal") => {
             invariants::set_fatal(true);
-            break_twice();
+            violate_twice();
         }
         _ => {}
     }
@@ -69,8 +69,9 @@
     logs::flush();
 }
 
-/// Ten times the lines that a busy daemon writes in a second, and faults.
-fn write_too_much() {
+/// Writes ten times as many lines of one kind as the rate limit allows in a second, then
+/// one line of another kind and one error.
+fn write_flood() {
     let settings = LogSettings {
         level: LogLevel::Info,
         format: LogFormat::Json,
@@ -85,14 +86,14 @@
     let took = started.elapsed();
     assert!(
         took < Duration::from_secs(1),
-        "writing waits for nobody: {took:?}"
+        "logging must not block: {took:?}"
     );
     assert!(logs::dropped_lines() >= 2_000, "{}", logs::dropped_lines());
     std::thread::sleep(Duration::from_millis(1_500));
 }
 
-/// More than an output takes that nobody reads, and a line once somebody does.
-fn write_past_a_stall() {
+/// Writes more than an output without a reader accepts, and further lines once it is read.
+fn write_to_stalled_output() {
     let settings = LogSettings {
         level: LogLevel::Info,
         format: LogFormat::Json,
@@ -103,10 +104,10 @@
         log::error!(target: "mangofront_gateway", filling = filling.as_str(); "gateway: a fault");
     }
     let started = Instant::now();
-    while logs::dropped_lines() == 0 && started.elapsed() < PATIENCE {
+    while logs::dropped_lines() == 0 && started.elapsed() < OUTPUT_FULL_TIMEOUT {
         std::thread::sleep(Duration::from_millis(10));
     }
-    eprintln!("{FULL}");
+    eprintln!("{OUTPUT_FULL}");
     for _ in 0..20 {
         std::thread::sleep(Duration::from_millis(100));
         log::info!(target: "mangofront_gateway", "gateway: after the stall");
@@ -114,35 +115,38 @@
     logs::flush();
 }
 
-/// Guards against a log that is silent for good after one write that failed.
+/// Guards against a log that stops for good after one failed write.
 #[test]
-fn lines_are_written_again_once_the_output_takes_them() {
+fn logging_resumes_after_the_output_was_full() {
     let (mut reader, output) = UnixStream::pair().expect("a pair of sockets");
-    // The child shares it: a write that finds it full fails.
-    output.set_nonblocking(true).expect("a flag is set");
-    let mut child = command("stalled")
+    // The child shares the mode of the socket: a write fails while the socket is full.
+    output
+        .set_nonblocking(true)
+        .expect("non-blocking mode is set");
+    let mut child = child_command("stalled")
         .stdout(OwnedFd::from(output))
         .stderr(Stdio::piped())
         .spawn()
         .expect("child runs");
-    let told = BufReader::new(child.stderr.take().expect("it is piped"));
-    let mut told = told.lines().map(|line| line.expect("text"));
-    assert!(told.any(|line| line == FULL));
+    let errors = BufReader::new(child.stderr.take().expect("it is piped"));
+    let mut errors = errors.lines().map(|line| line.expect("text"));
+    assert!(errors.any(|line| line == OUTPUT_FULL));
     let mut text = String::new();
     reader.read_to_string(&mut text).expect("text");
     assert!(child.wait().expect("child ends").success());
-    let whole = text.lines().filter(|line| line.starts_with('{'));
-    let (whole, torn): (Vec<&str>, Vec<&str>) = whole.partition(|line| line.ends_with('}'));
-    assert!(torn.len() <= 1, "{torn:?}");
-    let count = |part: &str| whole.iter().filter(|line| line.contains(part)).count();
-    assert!(count("after the stall") > 0, "{} lines", whole.len());
+    let lines = text.lines().filter(|line| line.starts_with('{'));
+    let (complete, incomplete): (Vec<&str>, Vec<&str>) =
+        lines.partition(|line| line.ends_with('}'));
+    assert!(incomplete.len() <= 1, "{incomplete:?}");
+    let count = |part: &str| complete.iter().filter(|line| line.contains(part)).count();
+    assert!(count("after the stall") > 0, "{} lines", complete.len());
     assert!(count("a fault") < 1_000, "the output was full");
     assert!(count("logs: lines dropped") > 0);
 }
 
 #[test]
-fn lines_past_their_kinds_budget_are_dropped_and_told() {
-    let output = run("flood");
+fn lines_over_the_rate_limit_are_dropped_and_reported() {
+    let output = run_child("flood");
     assert!(output.status.success(), "{output:?}");
     let text = String::from_utf8(output.stdout.clone()).expect("text");
     let count = |part: &str| text.lines().filter(|line| line.contains(part)).count();
@@ -151,13 +155,13 @@
     assert_eq!(
         count("another kind"),
         1,
-        "one kind does not drown the others"
+        "the limit of one kind does not affect others"
     );
     assert_eq!(count("a fault"), 1);
     assert_eq!(count("logs: lines dropped"), 1);
 }
 
-fn break_twice() {
+fn violate_twice() {
     assert!(invariants::check(
         Invariant::AtMostOnce,
         true,
@@ -170,11 +174,11 @@
             || format!("run {run}")
         ));
     }
-    let broken: Vec<_> = invariants::violations()
+    let violated: Vec<_> = invariants::violations()
         .into_iter()
         .filter(|(_, count)| *count > 0)
         .collect();
-    assert_eq!(broken, [(Invariant::AtMostOnce, 2)]);
+    assert_eq!(violated, [(Invariant::AtMostOnce, 2)]);
     let text = Metrics::new().expect("metrics").render();
     let line = |name: &str, count: u64| {
         format!("mangofront_invariant_violations_total{{invariant=\"{name}\"}} {count}\n")
@@ -184,33 +188,36 @@
 }
 
 #[test]
-fn human_lines_are_short_sentences() {
-    let output = run("human");
+fn human_lines_have_time_level_and_message() {
+    let output = run_child("human");
     assert!(output.status.success(), "{output:?}");
     let text = stderr(&output);
     let lines: Vec<_> = text.lines().filter(|line| line.starts_with("20")).collect();
-    let told: Vec<_> = lines
+    let entries: Vec<_> = lines
         .iter()
         .filter_map(|line| line.split_once(' '))
         .collect();
-    assert!(told.iter().all(|(time, _)| time.ends_with('Z')), "{text}");
-    let sentences: Vec<_> = told.iter().map(|(_, sentence)| *sentence).collect();
+    assert!(
+        entries.iter().all(|(time, _)| time.ends_with('Z')),
+        "{text}"
+    );
+    let messages: Vec<_> = entries.iter().map(|(_, message)| *message).collect();
     assert_eq!(
-        sentences,
+        messages,
         ["INFO  peers: entry-a2 joined", "WARN  a library's warning"]
     );
 }
 
 #[test]
-fn json_lines_are_objects() {
-    let output = run("json");
+fn json_lines_are_objects_with_typed_fields() {
+    let output = run_child("json");
     assert!(output.status.success(), "{output:?}");
     let text = String::from_utf8(output.stdout.clone()).expect("text");
     let lines: Vec<_> = text.lines().filter(|line| line.starts_with('{')).collect();
     assert_eq!(lines.len(), 3, "{text}");
     assert!(
         lines[1].contains("\"revision\":7"),
-        "a number stays one: {}",
+        "a number must stay a number: {}",
         lines[1]
     );
     for part in [
@@ -223,15 +230,15 @@
 }
 
 #[test]
-fn a_broken_invariant_is_counted() {
-    let output = run("counted");
+fn violations_are_counted() {
+    let output = run_child("counted");
     assert!(output.status.success(), "{output:?}");
 }
 
 #[test]
-fn a_fatal_broken_invariant_ends_the_process() {
+fn a_violation_aborts_the_process_when_fatal() {
     const SIGABRT: i32 = 6;
-    let output = run("fatal");
+    let output = run_child("fatal");
     assert_eq!(output.status.signal(), Some(SIGABRT), "{output:?}");
     let text = stderr(&output);
     assert!(
