--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -1,135 +1,135 @@
-//! The closed set of changes that the trail tells of.
+//! Events of the audit trail.
 
 use std::fmt;
 
 use mangofront_settings::ids::{Incarnation, InstanceId, Revision};
 use serde::{Deserialize, Serialize};
 
-/// One change.
+/// A recorded change of state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum AuditEvent {
     /// The process read its settings.
     SettingsLoaded {
-        /// Where they were read.
+        /// Source of the settings, such as the name of a file.
         source: String,
     },
-    /// A revision of the configuration is in force.
+    /// A revision of the configuration was accepted.
     ConfigurationAccepted {
-        /// Revision in force from now on.
+        /// Accepted revision.
         revision: Revision,
     },
-    /// A revision of the configuration was refused whole.
+    /// A revision of the configuration was refused; no part of it is applied.
     ConfigurationRefused {
-        /// Revision that was refused.
+        /// Refused revision.
         revision: Revision,
-        /// Why, in one line.
+        /// Reason, in one line.
         reason: String,
     },
-    /// A revision of the list of instances is in use.
+    /// A revision of the instance list was accepted.
     InstancesAccepted {
-        /// Revision in use from now on.
+        /// Accepted revision.
         revision: Revision,
     },
-    /// A revision of the list of instances was refused whole.
+    /// A revision of the instance list was refused; no part of it is applied.
     InstancesRefused {
-        /// Revision that was refused.
+        /// Refused revision.
         revision: Revision,
-        /// Why, in one line.
+        /// Reason, in one line.
         reason: String,
     },
-    /// Another daemon was met.
+    /// Another daemon joined the membership.
     MemberJoined {
         /// The daemon's instance.
         instance: InstanceId,
-        /// Incarnation it told.
+        /// Incarnation that it announced.
         incarnation: Incarnation,
     },
-    /// Another daemon went silent.
+    /// Another daemon is suspected to have failed.
     MemberSuspected {
         /// The daemon's instance.
         instance: InstanceId,
-        /// Incarnation last heard.
+        /// Last known incarnation.
         incarnation: Incarnation,
     },
-    /// Another daemon is gone.
+    /// Another daemon left the membership or is considered dead.
     MemberLeft {
         /// The daemon's instance.
         instance: InstanceId,
-        /// Incarnation last heard.
+        /// Last known incarnation.
         incarnation: Incarnation,
     },
-    /// A suspected daemon was heard again.
+    /// A daemon refuted the suspicion that it has failed.
     MemberRefuted {
         /// The daemon's instance.
         instance: InstanceId,
-        /// Incarnation that it told now.
+        /// Incarnation that it announced with the refutation.
         incarnation: Incarnation,
     },
-    /// An upstream takes work.
+    /// An upstream accepts requests.
     UpstreamJoined {
         /// The upstream's instance.
         instance: InstanceId,
     },
-    /// An upstream takes no new work.
+    /// An upstream has announced its shutdown and accepts no new requests.
     UpstreamLeaving {
         /// The upstream's instance.
         instance: InstanceId,
     },
-    /// An upstream gets no work for a while, for its faults.
+    /// An upstream is excluded from selection for a while after failures.
     UpstreamEjected {
         /// The upstream's instance.
         instance: InstanceId,
-        /// What it did.
+        /// Failures that caused the ejection.
         reason: String,
     },
-    /// An ejected upstream gets work again.
+    /// An ejected upstream is selected again.
     UpstreamReturned {
         /// The upstream's instance.
         instance: InstanceId,
     },
-    /// An engine took an order.
+    /// An order was sent to an engine, which did not refuse it.
     OrderSent {
         /// The engine's instance.
         instance: InstanceId,
-        /// What was ordered.
+        /// Description of the order.
         order: String,
     },
     /// An engine refused an order.
     OrderRefused {
         /// The engine's instance.
         instance: InstanceId,
-        /// What was ordered.
+        /// Description of the order.
         order: String,
-        /// Why it refused.
+        /// Reason that the engine gave.
         reason: String,
     },
-    /// A non-repeatable order may have run; nobody can tell.
+    /// It is unknown whether a non-repeatable order ran.
     OrderOutcomeUnknown {
-        /// Service the order went to.
+        /// Service to which the order was sent.
         service: String,
-        /// Its idempotency key.
+        /// Idempotency key of the order.
         key: String,
-        /// Step at which sight of it was lost.
+        /// Reason why the outcome could not be determined.
         reason: String,
     },
     /// A graceful shutdown began.
     DrainStarted {
-        /// Requests in progress.
+        /// Number of requests in progress.
         in_flight_requests: u64,
     },
-    /// A graceful shutdown is done.
+    /// A graceful shutdown finished.
     DrainFinished {
-        /// Requests cut off; other than 0 only past the stop's time limit.
+        /// Number of requests cut off; 0 unless the time limit of the shutdown passed.
         cut_requests: u64,
-        /// How long it took, in milliseconds.
+        /// Duration of the shutdown, in milliseconds.
         took_ms: u64,
     },
-    /// An invariant was broken.
+    /// An invariant was violated.
     InvariantBroken {
         /// Name of the invariant.
         invariant: String,
-        /// What was seen.
+        /// Details of the violation.
         detail: String,
     },
 }
--- a/crates/audit/src/ring.rs
+++ b/crates/audit/src/ring.rs
@@ -1,4 +1,4 @@
-//! The ring that holds the latest entries.
+//! Ring buffer of the latest audit entries.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -9,40 +9,41 @@
 
 use crate::event::AuditEvent;
 
-/// Number of an entry, from 1 without gaps within one process.
+/// Number of an entry: consecutive within one process, starting at 1.
 pub type Sequence = u64;
 
-/// One entry of the trail.
+/// One entry of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// Number of the entry.
+    /// Sequence number of the entry.
     pub sequence: Sequence,
-    /// When it was recorded, in milliseconds since 1970.
+    /// Time at which it was recorded, in milliseconds since the Unix epoch.
     pub unix_time_ms: u64,
-    /// What changed.
+    /// The recorded event.
     #[serde(flatten)]
     pub event: AuditEvent,
 }
 
-/// Entries after a sequence.
+/// Entries after a given sequence number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditPage {
-    /// Sequence that the next entry will get.
+    /// Sequence number of the next entry to be recorded.
     pub next_sequence: Sequence,
-    /// Sequence of the oldest entry still held; equals `next_sequence` when
-    /// none is. A reader that asked from before it has missed entries.
+    /// Sequence number of the oldest retained entry, or `next_sequence` if there is
+    /// none. A reader that asks for entries after a number lower than
+    /// `oldest_sequence - 1` has missed entries.
     #[serde(default)]
     pub oldest_sequence: Sequence,
-    /// Entries, oldest first.
+    /// The entries, oldest first.
     pub entries: Vec<AuditEntry>,
 }
 
-/// The trail; a clone shares the same entries.
+/// The audit trail of a daemon; a clone shares the entries.
 #[derive(Debug, Clone)]
 pub struct AuditLog(Rc<RefCell<Ring>>);
 
-/// Invariant: `entries` holds consecutive sequences that end at
-/// `next_sequence - 1`, and never more than `capacity_entries` of them.
+/// Invariant: `entries` has consecutive sequence numbers that end at
+/// `next_sequence - 1`, and never more than `capacity_entries` elements.
 #[derive(Debug)]
 struct Ring {
     capacity_entries: usize,
@@ -51,7 +52,7 @@
 }
 
 impl AuditLog {
-    /// A trail that holds the latest `capacity_entries`, at least one.
+    /// Creates a trail that retains the latest `capacity_entries` entries, but at least one.
     #[must_use]
     pub fn new(capacity_entries: usize) -> Self {
         Self(Rc::new(RefCell::new(Ring {
@@ -61,13 +62,13 @@
         })))
     }
 
-    /// Records `event` now, and logs it.
+    /// Records `event` with the current time, logs it, and returns its sequence number.
     pub fn record(&self, event: AuditEvent) -> Sequence {
         log::info!("audit: {event}");
         self.0.borrow_mut().push(event, unix_time_ms())
     }
 
-    /// Entries whose sequence is higher than `after`.
+    /// Returns the retained entries whose sequence number is greater than `after`.
     #[must_use]
     pub fn since(&self, after: Sequence) -> AuditPage {
         let ring = self.0.borrow();
@@ -104,8 +105,9 @@
     }
 }
 
-/// A clock set before 1970 reads as 0: the order of entries is told by their
-/// sequence, so nothing else hangs on it.
+/// Current time in milliseconds since the Unix epoch; 0 if the clock is set before it.
+/// The order of entries follows from their sequence numbers, so nothing depends on the
+/// time.
 fn unix_time_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/audit/tests/trail.rs
+++ b/crates/audit/tests/trail.rs
@@ -1,4 +1,4 @@
-//! The ring's bounds, and how each event is told.
+//! Tests of the bounds of the ring buffer and of the text and JSON of each event.
 
 use mangofront_audit::{AuditEvent, AuditLog, AuditPage};
 use quickcheck::QuickCheck;
@@ -12,31 +12,31 @@
 }
 
 #[test]
-fn an_empty_trail_starts_at_one() {
+fn sequence_numbers_of_an_empty_trail_start_at_one() {
     let page = AuditLog::new(4).since(0);
     assert_eq!((page.oldest_sequence, page.next_sequence), (1, 1));
     assert!(page.entries.is_empty());
 }
 
 #[test]
-fn a_clone_shares_the_entries() {
+fn clones_share_entries() {
     let trail = AuditLog::new(4);
     assert_eq!(trail.clone().record(accepted(7)), 1);
     assert_eq!(trail.since(0).entries[0].event, accepted(7));
 }
 
 #[test]
-fn a_capacity_of_nothing_holds_the_latest() {
+fn capacity_zero_retains_the_latest_entry() {
     let trail = AuditLog::new(0);
     trail.record(accepted(1));
     trail.record(accepted(2));
     assert_eq!(sequences(&trail.since(0)), [2]);
 }
 
-/// Whatever the capacity, the count and the question: the page holds the
-/// latest entries after the asked one, and tells what was lost.
+/// For any capacity, number of entries and `after`, a page has the latest entries after
+/// `after`, and its oldest sequence number shows which entries were dropped.
 #[test]
-fn pages_are_the_latest_entries() {
+fn pages_have_the_latest_entries_after_a_sequence_number() {
     fn property(capacity_entries: u8, recorded: u16, after: u16) -> bool {
         let (capacity, recorded) = (
             u64::from(capacity_entries).max(1),
@@ -58,7 +58,7 @@
         .quickcheck(property as fn(u8, u16, u16) -> bool);
 }
 
-fn every_event() -> Vec<AuditEvent> {
+fn all_events() -> Vec<AuditEvent> {
     let instance = || "entry-a1".to_owned();
     let reason = || "line 3, column 5: unknown key `weight`".to_owned();
     let order = || "version 2026-11".to_owned();
@@ -134,21 +134,21 @@
 }
 
 #[test]
-fn each_event_has_a_sentence_and_a_form() {
-    let told: Vec<_> = every_event()
+fn each_event_has_a_text_and_a_json_form() {
+    let descriptions: Vec<_> = all_events()
         .into_iter()
         .map(|event| {
             let json = serde_json::to_string(&event).expect("events are JSON");
             format!("{event}\n    {json}")
         })
         .collect();
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(descriptions.join("\n"));
 }
 
 #[test]
-fn a_page_reads_back_as_it_was_written() {
+fn pages_round_trip_through_json() {
     let trail = AuditLog::new(64);
-    every_event().into_iter().for_each(|event| {
+    all_events().into_iter().for_each(|event| {
         trail.record(event);
     });
     let page = trail.since(2);
