--- a/crates/cli/src/admin.rs
+++ b/crates/cli/src/admin.rs
@@ -9,17 +9,17 @@
 
 use crate::error::CliError;
 
-/// Longest time for an answer; a daemon answers these from memory.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit for a response, which a daemon gives from memory.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A daemon's admin listener.
+/// Client of a daemon's admin listener.
 #[derive(Debug)]
-pub(crate) struct Admin {
+pub(crate) struct AdminClient {
     address: SocketAddr,
     client: cyper::Client,
 }
 
-/// One call; `step` names it in errors.
+/// One call; `step` is its name in errors.
 struct Call<'a> {
     step: &'static str,
     method: Method,
@@ -27,13 +27,13 @@
     body: Vec<u8>,
 }
 
-impl Admin {
+impl AdminClient {
     pub(crate) fn new(address: SocketAddr) -> Result<Self, CliError> {
         let client = mangofront_http::client()?;
         Ok(Self { address, client })
     }
 
-    /// Asks for the JSON at `path`.
+    /// Gets the JSON at `path`.
     pub(crate) async fn get(&self, step: &'static str, path: &str) -> Result<Value, CliError> {
         let call = Call {
             step,
@@ -44,7 +44,7 @@
         self.call(call).await
     }
 
-    /// Sends `body` to `path`.
+    /// Posts `body` to `path` and returns the JSON of the response.
     pub(crate) async fn post(
         &self,
         step: &'static str,
@@ -62,10 +62,10 @@
 
     async fn call(&self, call: Call<'_>) -> Result<Value, CliError> {
         let step = call.step;
-        let answered = compio::time::timeout(ANSWER_TIMEOUT, self.exchange(call)).await;
-        let (status, content) = match answered {
-            Ok(Ok(answer)) => answer,
-            Ok(Err(cause)) => return Err(self.unreachable(step, innermost(&cause))),
+        let response = compio::time::timeout(RESPONSE_TIMEOUT, self.exchange(call)).await;
+        let (status, content) = match response {
+            Ok(Ok(response)) => response,
+            Ok(Err(cause)) => return Err(self.unreachable(step, root_cause(&cause))),
             Err(_) => return Err(self.unreachable(step, "no answer in time".to_owned())),
         };
         if !status.is_success() {
@@ -73,10 +73,10 @@
                 step,
                 address: self.address,
                 status: status.as_u16(),
-                message: message_of(&content),
+                message: error_message(&content),
             });
         }
-        serde_json::from_slice(&content).map_err(|cause| CliError::BadAnswer {
+        serde_json::from_slice(&content).map_err(|cause| CliError::InvalidResponse {
             step,
             address: self.address,
             cause,
@@ -87,9 +87,9 @@
         let url = format!("http://{}{}", self.address, call.path);
         let request = self.client.request(call.method, url)?;
         let request = request.header("content-type", "application/json")?;
-        let answer = request.body(call.body).send().await?;
-        let status = answer.status();
-        let content = answer.bytes().await?;
+        let response = request.body(call.body).send().await?;
+        let status = response.status();
+        let content = response.bytes().await?;
         Ok((status, content.to_vec()))
     }
 
@@ -102,8 +102,8 @@
     }
 }
 
-/// What the system said, below what the libraries made of it.
-fn innermost(error: &dyn std::error::Error) -> String {
+/// Message of the innermost cause, which is usually that of the operating system.
+fn root_cause(error: &dyn std::error::Error) -> String {
     let mut innermost = error;
     while let Some(source) = innermost.source() {
         innermost = source;
@@ -111,8 +111,8 @@
     innermost.to_string()
 }
 
-/// The message of an error body, or else the text as it came.
-fn message_of(content: &[u8]) -> String {
+/// Message of an error body, or the whole content if it is not one.
+fn error_message(content: &[u8]) -> String {
     match serde_json::from_slice::<ErrorBody>(content) {
         Ok(body) => body.error.message,
         Err(_) => String::from_utf8_lossy(content).trim().to_owned(),
--- a/crates/cli/src/audit.rs
+++ b/crates/cli/src/audit.rs
@@ -1,7 +1,7 @@
-//! `mangofront audit`: a daemon's trail of changes.
+//! `mangofront audit`: prints a daemon's audit trail.
 //!
-//! An entry of a kind that this tool doesn't know is printed as its JSON: in
-//! the middle of an upgrade the daemon may be newer than the tool.
+//! An entry of an unknown kind is printed as JSON, as the daemon may be newer than
+//! this tool during an upgrade.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::admin::Admin;
+use crate::admin::AdminClient;
 use crate::error::CliError;
 use crate::{block_on, finish, output};
 
-/// Pause between two looks while following.
-const FOLLOW_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between two reads of the trail with `--follow`.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A page of the trail whose entries may be of unknown kinds.
+/// A page of the trail, with entries as JSON since some may be of unknown kinds.
 #[derive(Debug, Deserialize)]
 struct Page {
     next_sequence: u64,
@@ -36,11 +36,11 @@
     finish(arguments)?;
     block_on(async {
         let reader = Reader {
-            admin: Admin::new(address)?,
+            admin: AdminClient::new(address)?,
             address,
             json,
         };
-        let next = reader.show_after(after).await?;
+        let next = reader.print_after(after).await?;
         if follow {
             reader.follow(next).await?;
         }
@@ -48,48 +48,49 @@
     })
 }
 
+/// Reads the trail of one daemon and prints it.
 struct Reader {
-    admin: Admin,
+    admin: AdminClient,
     address: SocketAddr,
     json: bool,
 }
 
 impl Reader {
-    /// Shows what comes, through restarts of the daemon, until the process is
-    /// stopped or its reader goes away.
+    /// Prints new entries, also after restarts of the daemon, until the process is
+    /// stopped or the reader of its output closes the pipe.
     async fn follow(&self, mut after: u64) -> Result<(), CliError> {
-        let mut reachable = true;
+        let mut is_reachable = true;
         loop {
-            compio::time::sleep(FOLLOW_PAUSE).await;
-            match self.show_after(after).await {
+            compio::time::sleep(FOLLOW_INTERVAL).await;
+            match self.print_after(after).await {
                 Ok(next) => {
                     after = next;
-                    reachable = true;
+                    is_reachable = true;
                 }
                 Err(error @ CliError::Unreachable { .. }) => {
-                    if reachable {
+                    if is_reachable {
                         eprintln!("{error}");
                     }
-                    reachable = false;
+                    is_reachable = false;
                 }
                 Err(error) => return Err(error),
             }
         }
     }
 
-    /// Shows the entries after a sequence; returns the last one there is.
-    async fn show_after(&self, after: u64) -> Result<u64, CliError> {
+    /// Prints the entries after a sequence number and returns that of the latest entry.
+    async fn print_after(&self, after: u64) -> Result<u64, CliError> {
         let mut page = self.page(after).await?;
         if page.next_sequence <= after {
-            // Sequences begin at 1 with each life of the daemon.
-            eprintln!("audit: {} started anew", self.address);
+            // Sequence numbers start again at 1 when the daemon restarts.
+            eprintln!("audit: {} has restarted", self.address);
             page = self.page(0).await?;
         } else if page.oldest_sequence > after + 1 {
             let lost = page.oldest_sequence - after - 1;
             eprintln!("audit: {lost} entries are no longer held");
         }
         for entry in &page.entries {
-            self.show(entry)?;
+            self.print(entry)?;
         }
         Ok(page.next_sequence.saturating_sub(1))
     }
@@ -100,22 +101,23 @@
             .admin
             .get(STEP, &format!("/audit?after={after}"))
             .await?;
-        serde_json::from_value(page).map_err(|cause| CliError::BadAnswer {
+        serde_json::from_value(page).map_err(|cause| CliError::InvalidResponse {
             step: STEP,
             address: self.address,
             cause,
         })
     }
 
-    fn show(&self, entry: &Value) -> Result<(), CliError> {
+    fn print(&self, entry: &Value) -> Result<(), CliError> {
         if self.json {
             return output::print_json_line(entry);
         }
-        output::print(&format!("{}\n", sentence(entry)))
+        output::print(&format!("{}\n", render(entry)))
     }
 }
 
-fn sentence(entry: &Value) -> String {
+/// Entry as it is printed: time, sequence number and event.
+fn render(entry: &Value) -> String {
     let Ok(known) = AuditEntry::deserialize(entry) else {
         return entry.to_string();
     };
@@ -124,6 +126,6 @@
         |_| known.unix_time_ms.to_string(),
         |time| format!("{time:.3}"),
     );
-    let event = output::plain(&known.event.to_string());
+    let event = output::escape_control(&known.event.to_string());
     format!("{time} #{} {event}", known.sequence)
 }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `mangofront check`: is a document good?
+//! `mangofront check`: checks a settings file or a published configuration.
 
 use std::convert::Infallible;
 use std::ffi::OsStr;
@@ -25,7 +25,7 @@
     output::print(&format!("{name}: {summary}\n"))
 }
 
-/// Reads a file of text.
+/// Reads a text file.
 pub(crate) fn read(path: &Path) -> Result<String, CliError> {
     std::fs::read_to_string(path).map_err(|cause| CliError::Unreadable {
         path: path.display().to_string(),
@@ -33,12 +33,12 @@
     })
 }
 
-pub(crate) fn to_path(word: &OsStr) -> Result<PathBuf, Infallible> {
-    Ok(PathBuf::from(word))
+pub(crate) fn to_path(argument: &OsStr) -> Result<PathBuf, Infallible> {
+    Ok(PathBuf::from(argument))
 }
 
-fn parse_kind(word: &str) -> Result<DocumentKind, &'static str> {
-    match word {
+fn parse_kind(argument: &str) -> Result<DocumentKind, &'static str> {
+    match argument {
         "settings" => Ok(DocumentKind::Settings),
         "configuration" => Ok(DocumentKind::Configuration),
         _ => Err("the kind is settings or configuration"),
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, how it is shown, and the exit code it gives.
+//! Errors of the commands, how they are printed, and their exit codes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,16 +8,16 @@
 use miette::{Diagnostic, GraphicalReportHandler};
 use thiserror::Error;
 
-/// Exit code when what was asked about is at fault.
-const EXIT_FAULT: u8 = 1;
+/// Exit code for an invalid document, a refused request, or logs without a match.
+const EXIT_NEGATIVE_RESULT: u8 = 1;
 
-/// Exit code when the question could not be put.
-const EXIT_UNASKED: u8 = 2;
+/// Exit code for a command that could not be carried out.
+const EXIT_NOT_RUN: u8 = 2;
 
 /// Width of a report, in characters.
 const REPORT_WIDTH: usize = 100;
 
-/// Command that did not end well.
+/// Reason why a command failed.
 #[derive(Debug, Error, Diagnostic)]
 pub(crate) enum CliError {
     #[error("no command given")]
@@ -31,12 +31,12 @@
     Arguments(pico_args::Error),
     #[error("arguments: nothing takes `{0}`")]
     #[diagnostic(help("see `mangofront --help`"))]
-    Leftover(String),
+    UnusedArguments(String),
     #[error("{path} can't be read: {cause}")]
     Unreadable { path: String, cause: io::Error },
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Faulty(#[from] CheckError),
+    InvalidDocument(#[from] CheckError),
     #[error("{step}: {address} can't be reached: {cause}")]
     #[diagnostic(help("is the daemon up, and is this its `admin_address`?"))]
     Unreachable {
@@ -52,22 +52,22 @@
         message: String,
     },
     #[error("{step}: the answer of {address} can't be read: {cause}")]
-    BadAnswer {
+    InvalidResponse {
         step: &'static str,
         address: SocketAddr,
         cause: serde_json::Error,
     },
     #[error("trace: none of {lines} lines names request {request}")]
     #[diagnostic(help("was it served by these daemons, and do the logs reach back so far?"))]
-    NoSuchRequest { request: String, lines: usize },
+    RequestNotFound { request: String, lines: usize },
     #[error("losses: none of {lines} lines tells how a prompt ended")]
     #[diagnostic(help("are these the logs of daemons that serve published routes?"))]
-    NoRequests { lines: usize },
+    NoRequestsFound { lines: usize },
     #[error("stand-in: `{0}` is not NAME=VALUE")]
-    BadSetting(String),
+    InvalidOverride(String),
     #[error("stand-in: its settings don't fit: {0}")]
-    UnfitSettings(serde_json::Error),
-    #[error("stand-in: {address} can't be listened on: {cause}")]
+    InvalidSettings(serde_json::Error),
+    #[error("stand-in: listening on {address} failed: {cause}")]
     Listen {
         address: SocketAddr,
         cause: io::Error,
@@ -82,7 +82,7 @@
     Output(io::Error),
 }
 
-// By hand, since `#[from]` would show the message a second time as its own cause.
+// Not derived with `#[from]`, which would print the message a second time as its cause.
 impl From<pico_args::Error> for CliError {
     fn from(error: pico_args::Error) -> Self {
         Self::Arguments(error)
@@ -90,25 +90,25 @@
 }
 
 impl CliError {
-    /// Code that the process exits with.
+    /// Exit code of the process for this error.
     pub(crate) fn exit_code(&self) -> ExitCode {
         match self {
-            Self::Output(cause) if is_closed(cause) => ExitCode::SUCCESS,
-            Self::Faulty(_)
+            Self::Output(cause) if is_broken_pipe(cause) => ExitCode::SUCCESS,
+            Self::InvalidDocument(_)
             | Self::Refused { .. }
-            | Self::NoSuchRequest { .. }
-            | Self::NoRequests { .. } => ExitCode::from(EXIT_FAULT),
-            _ => ExitCode::from(EXIT_UNASKED),
+            | Self::RequestNotFound { .. }
+            | Self::NoRequestsFound { .. } => ExitCode::from(EXIT_NEGATIVE_RESULT),
+            _ => ExitCode::from(EXIT_NOT_RUN),
         }
     }
 
-    /// Shows the error on standard error.
+    /// Prints the error on standard error, unless the reader of the output closed the pipe.
     pub(crate) fn report(&self) {
-        if matches!(self, Self::Output(cause) if is_closed(cause)) {
+        if matches!(self, Self::Output(cause) if is_broken_pipe(cause)) {
             return;
         }
         let mut text = String::new();
-        // Without colours and with plain characters unless it is a terminal.
+        // The handler uses colours and Unicode characters only on a terminal.
         let handler = GraphicalReportHandler::new().with_width(REPORT_WIDTH);
         match handler.render_report(&mut text, self) {
             Ok(()) => eprint!("{text}"),
@@ -117,7 +117,7 @@
     }
 }
 
-/// Whether a reader such as `head` has seen enough, which is no fault.
-fn is_closed(cause: &io::Error) -> bool {
+/// Whether the reader, such as `head`, closed the pipe, which is not an error.
+fn is_broken_pipe(cause: &io::Error) -> bool {
     cause.kind() == io::ErrorKind::BrokenPipe
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,20 +1,20 @@
 //! Operator's command line tool.
 //!
-//! Owns what `mangofront` prints and how it exits. It reads documents by
-//! `settings`, talks to a daemon's admin listener over HTTP, starts the
-//! emulators of `standin` as processes, and passes `load` on to the load tool.
-//! One module holds one command.
+//! Owns the output and the exit codes of `mangofront`. It reads documents with the
+//! `settings` crate, calls a daemon's admin listener over HTTP, runs the emulators
+//! of the `standin` crate, and delegates `load` to the load tool. Each command has
+//! a module.
 //!
-//! Exit codes: 0 when all is well, 1 when what was asked about is at fault
-//! (a broken document, a refusal of the daemon), 2 when the question could not
-//! be put (wrong arguments, an unreadable file, nobody at the address).
+//! Exit codes: 0 for success; 1 if the checked document is invalid, the daemon
+//! refuses the request, or no log line matches; 2 if the command could not be
+//! carried out (invalid arguments, an unreadable file, an unreachable daemon).
 
 mod admin;
 mod audit;
 mod check;
 mod error;
 mod explain;
-mod lines;
+mod log_lines;
 mod losses;
 mod output;
 mod quarantine;
@@ -100,32 +100,33 @@
         Some("losses") => return losses::run(arguments),
         Some("standin") => standin::run(arguments)?,
         Some(other) => return Err(CliError::UnknownCommand(other.to_owned())),
-        None => version_or_nothing(arguments)?,
+        None => print_version(arguments)?,
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn version_or_nothing(mut arguments: Arguments) -> Result<(), CliError> {
-    let wanted = arguments.contains(["-V", "--version"]);
+/// Prints the version if `--version` is given. Any other call without a command fails.
+fn print_version(mut arguments: Arguments) -> Result<(), CliError> {
+    let is_version_requested = arguments.contains(["-V", "--version"]);
     finish(arguments)?;
-    if !wanted {
+    if !is_version_requested {
         return Err(CliError::NoCommand);
     }
     output::print(concat!("mangofront ", env!("CARGO_PKG_VERSION"), "\n"))
 }
 
-/// Refuses arguments that no option took.
+/// Fails if any argument was not consumed.
 fn finish(arguments: Arguments) -> Result<(), CliError> {
-    let leftover = arguments.finish();
-    if leftover.is_empty() {
+    let unused = arguments.finish();
+    if unused.is_empty() {
         return Ok(());
     }
-    let words: Vec<_> = leftover.iter().map(|word| word.to_string_lossy()).collect();
-    Err(CliError::Leftover(words.join(" ")))
+    let words: Vec<_> = unused.iter().map(|word| word.to_string_lossy()).collect();
+    Err(CliError::UnusedArguments(words.join(" ")))
 }
 
-/// Runs `work` on a runtime of its own.
-fn block_on<T>(work: impl Future<Output = Result<T, CliError>>) -> Result<T, CliError> {
+/// Runs `future` on a new runtime.
+fn block_on<T>(future: impl Future<Output = Result<T, CliError>>) -> Result<T, CliError> {
     let runtime = compio::runtime::Runtime::new().map_err(CliError::Runtime)?;
-    runtime.block_on(work)
+    runtime.block_on(future)
 }
--- a/crates/cli/src/lines.rs
+++ b/crates/cli/src/log_lines.rs
@@ -1,7 +1,7 @@
-//! Structured lines of any number of daemons, from files or from standard input.
+//! Reads structured log lines of any number of daemons from files or standard input.
 //!
-//! Lines come in any order, each perhaps behind a prefix of whatever gathered them.
-//! What is no line of a daemon is counted and passed over.
+//! Lines may come in any order, each optionally after a prefix added by a log collector.
+//! Input that is not a structured line of a daemon is counted and skipped.
 
 use std::io::{self, Read};
 
@@ -11,44 +11,46 @@
 use crate::error::CliError;
 use crate::finish;
 
-/// One structured line.
+/// One structured log line.
 #[derive(Debug)]
-pub(crate) struct Line {
+pub(crate) struct LogLine {
+    /// Time of the line, in milliseconds since the Unix epoch.
     pub(crate) time_ms: i64,
-    /// What stood before the object: usually the daemon's name, at times behind a
-    /// time of its own.
+    /// Text before the JSON object: usually the name of the daemon, sometimes after a
+    /// timestamp of the log collector.
     pub(crate) source: String,
     pub(crate) fields: Map<String, Value>,
 }
 
-impl Line {
-    /// Name of the daemon: the last word before the object.
+impl LogLine {
+    /// Name of the daemon: the last word before the JSON object.
     pub(crate) fn daemon(&self) -> Option<&str> {
         self.source.split_whitespace().last()
     }
 
-    /// Text of a field.
+    /// Value of a field that is a string.
     pub(crate) fn text(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 
-    /// Number of a field.
+    /// Value of a field that is an unsigned integer.
     pub(crate) fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 }
 
-/// What was read, and what of it was no line of a daemon.
+/// Log lines that were read, and the extent of the input that was skipped.
 #[derive(Debug, Default)]
-pub(crate) struct Lines {
-    /// In the order of their time.
-    pub(crate) lines: Vec<Line>,
-    foreign: usize,
-    is_torn: bool,
+pub(crate) struct LogLines {
+    /// Lines ordered by time.
+    pub(crate) lines: Vec<LogLine>,
+    skipped: usize,
+    is_last_line_incomplete: bool,
 }
 
-impl Lines {
-    /// Reads the files that are left in `arguments`, or else standard input.
+impl LogLines {
+    /// Reads the files named by the remaining `arguments`, or standard input if no file is
+    /// named.
     pub(crate) fn read(mut arguments: Arguments) -> Result<Self, CliError> {
         let mut text = String::new();
         let mut has_file = false;
@@ -71,46 +73,46 @@
             io::stdin().read_to_end(&mut bytes).map_err(unreadable)?;
             text = String::from_utf8_lossy(&bytes).into_owned();
         }
-        let mut read = read_lines(&text);
+        let mut read = parse_lines(&text);
         read.lines.sort_by_key(|line| line.time_ms);
         Ok(read)
     }
 
-    /// Tells on standard error what was passed over.
-    pub(crate) fn report_passed_over(&self, command: &str) {
-        if self.foreign > 0 {
+    /// Reports skipped input on standard error.
+    pub(crate) fn report_skipped(&self, command: &str) {
+        if self.skipped > 0 {
             eprintln!(
                 "{command}: {} lines are no structured lines of a daemon",
-                self.foreign
+                self.skipped
             );
         }
-        if self.is_torn {
+        if self.is_last_line_incomplete {
             eprintln!("{command}: the last line is torn");
         }
     }
 }
 
-fn read_lines(text: &str) -> Lines {
-    let mut read = Lines::default();
+fn parse_lines(text: &str) -> LogLines {
+    let mut read = LogLines::default();
     let mut rows = text.lines().filter(|row| !row.trim().is_empty()).peekable();
     while let Some(row) = rows.next() {
         let is_last = rows.peek().is_none() && !text.ends_with('\n');
-        match read_line(row) {
+        match parse_line(row) {
             Some(line) => read.lines.push(line),
-            None if is_last && row.contains('{') => read.is_torn = true,
-            None => read.foreign += 1,
+            None if is_last && row.contains('{') => read.is_last_line_incomplete = true,
+            None => read.skipped += 1,
         }
     }
     read
 }
 
-fn read_line(row: &str) -> Option<Line> {
+fn parse_line(row: &str) -> Option<LogLine> {
     let start = row.find('{')?;
     let (source, object) = row.split_at(start);
     let fields: Map<String, Value> = serde_json::from_str(object.trim_end()).ok()?;
     let time: jiff::Timestamp = fields.get("time")?.as_str()?.parse().ok()?;
     fields.get("message")?;
-    Some(Line {
+    Some(LogLine {
         time_ms: time.as_millisecond(),
         source: source.trim().to_owned(),
         fields,
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,7 +1,7 @@
-//! Writing to standard output.
+//! Writes to standard output.
 //!
-//! The `print` macros panic when the reader has gone away; here that is an
-//! error that ends the command.
+//! The `print` macros panic when the reader has closed the pipe; these functions
+//! return an error, which ends the command.
 
 use std::io::Write;
 
@@ -9,7 +9,7 @@
 
 use crate::error::CliError;
 
-/// Writes `text` as it is.
+/// Writes `text` unchanged.
 pub(crate) fn print(text: &str) -> Result<(), CliError> {
     let mut output = std::io::stdout().lock();
     output
@@ -18,26 +18,26 @@
     output.flush().map_err(CliError::Output)
 }
 
-/// Writes `value` as JSON over several lines.
+/// Writes `value` as indented JSON.
 pub(crate) fn print_json(value: &serde_json::Value) -> Result<(), CliError> {
     print(&format!("{value:#}\n"))
 }
 
-/// Writes `value` as JSON in one line.
+/// Writes `value` as JSON on one line.
 pub(crate) fn print_json_line(value: &impl Serialize) -> Result<(), CliError> {
     let line = serde_json::to_string(value).map_err(|error| CliError::Output(error.into()))?;
     print(&format!("{line}\n"))
 }
 
-/// `text` without characters that could steer a terminal.
-pub(crate) fn plain(text: &str) -> String {
-    let mut shown = String::with_capacity(text.len());
-    for letter in text.chars() {
-        if letter.is_control() {
-            shown.extend(letter.escape_debug());
+/// Escapes control characters in `text`, which could otherwise control the terminal.
+pub(crate) fn escape_control(text: &str) -> String {
+    let mut escaped = String::with_capacity(text.len());
+    for character in text.chars() {
+        if character.is_control() {
+            escaped.extend(character.escape_debug());
         } else {
-            shown.push(letter);
+            escaped.push(character);
         }
     }
-    shown
+    escaped
 }
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -1,4 +1,4 @@
-//! `mangofront standin`: an emulator as a process.
+//! `mangofront standin`: runs emulators of the systems that a daemon works with.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -18,10 +18,10 @@
 use crate::error::CliError;
 use crate::{block_on, finish, output};
 
-/// Number of the signal of a terminal's interrupt, by POSIX.
+/// POSIX number of the signal that a terminal's interrupt key sends.
 const SIGINT: i32 = 2;
 
-/// Number of the signal to stop, by POSIX.
+/// POSIX number of the signal that requests a graceful stop.
 const SIGTERM: i32 = 15;
 
 /// An emulator with its settings.
@@ -38,14 +38,14 @@
     let address: SocketAddr = arguments.value_from_str("--address")?;
     let count: u16 = arguments.opt_value_from_str("--count")?.unwrap_or(1);
     let file: Option<PathBuf> = arguments.opt_value_from_os_str("--settings", to_path)?;
-    let changes: Vec<String> = arguments.values_from_str("--set")?;
+    let overrides: Vec<String> = arguments.values_from_str("--set")?;
     finish(arguments)?;
-    let settings = merge(file.as_deref(), &changes)?;
+    let settings = merge(file.as_deref(), &overrides)?;
     let standin = match kind.as_deref() {
-        Some("engine") => Standin::Engine(typed(settings)?),
-        Some("service") => Standin::Service(typed(settings)?),
-        Some("platform") => Standin::Platform(typed(settings)?),
-        Some("weights") => Standin::Weights(typed(settings)?),
+        Some("engine") => Standin::Engine(deserialize(settings)?),
+        Some("service") => Standin::Service(deserialize(settings)?),
+        Some("platform") => Standin::Platform(deserialize(settings)?),
+        Some("weights") => Standin::Weights(deserialize(settings)?),
         other => {
             let other = other.unwrap_or_default();
             return Err(CliError::UnknownCommand(format!("standin {other}")));
@@ -55,21 +55,23 @@
     block_on(serve(standin, address, count))
 }
 
-/// Serves `count` emulators of the same settings on consecutive ports.
+/// Runs `count` emulators with the same settings on consecutive ports until the process
+/// receives a stop signal.
 async fn serve(standin: Standin, address: SocketAddr, count: u16) -> Result<(), CliError> {
     let listeners = listen(address, count).await?;
     let (trigger, shutdown) = Shutdown::new();
     let mut stop = pin!(stop_signal());
-    // The first poll takes the signals over, so that none is missed once the
-    // line below tells that the process is up.
+    // The first poll installs the signal handlers, so that no signal is missed once
+    // the lines below report that the process is listening.
     let _ = futures_util::poll!(stop.as_mut());
     for listener in &listeners {
         let bound = listener.local_addr();
         let bound = bound.map_err(|cause| CliError::Listen { address, cause })?;
         output::print(&format!("listening on {bound}\n"))?;
     }
-    let each = listeners.into_iter();
-    let serving = join_all(each.map(|listener| standin.clone().run(listener, shutdown.clone())));
+    let listeners = listeners.into_iter();
+    let serving =
+        join_all(listeners.map(|listener| standin.clone().run(listener, shutdown.clone())));
     let serving = pin!(serving);
     if let Either::Left((_, serving)) = select(stop, serving).await {
         trigger.trigger();
@@ -82,7 +84,7 @@
     let mut listeners = Vec::with_capacity(count.into());
     for offset in 0..count {
         let mut address = first;
-        // Port 0 asks for any free port, each time.
+        // With port 0 the system assigns a free port to each listener.
         if first.port() != 0 {
             address.set_port(first.port().saturating_add(offset));
         }
@@ -92,7 +94,7 @@
     Ok(listeners)
 }
 
-/// Ends with the first SIGTERM or SIGINT; a second one then ends the process.
+/// Waits for the first SIGTERM or SIGINT; a second one then ends the process.
 async fn stop_signal() {
     use compio::signal::unix::signal;
     let terminated = pin!(signal(SIGTERM));
@@ -111,21 +113,21 @@
     }
 }
 
-fn typed<T: DeserializeOwned>(settings: Value) -> Result<T, CliError> {
-    serde_json::from_value(settings).map_err(CliError::UnfitSettings)
+fn deserialize<T: DeserializeOwned>(settings: Value) -> Result<T, CliError> {
+    serde_json::from_value(settings).map_err(CliError::InvalidSettings)
 }
 
-/// The file's settings, or none, with the changes in their order.
-fn merge(file: Option<&Path>, changes: &[String]) -> Result<Value, CliError> {
+/// Settings from the file, or empty ones, with the overrides applied in order.
+fn merge(file: Option<&Path>, overrides: &[String]) -> Result<Value, CliError> {
     let mut settings = match file {
         Some(path) => read_json(path)?,
         None => Value::Object(Map::new()),
     };
-    for change in changes {
-        let bad = || CliError::BadSetting(change.clone());
-        let (name, value) = change.split_once('=').ok_or_else(bad)?;
-        let place = place(&mut settings, name).ok_or_else(bad)?;
-        *place = parse_setting(value)?;
+    for entry in overrides {
+        let invalid = || CliError::InvalidOverride(entry.clone());
+        let (name, value) = entry.split_once('=').ok_or_else(invalid)?;
+        let slot = slot(&mut settings, name).ok_or_else(invalid)?;
+        *slot = parse_override(value)?;
     }
     Ok(settings)
 }
@@ -136,7 +138,7 @@
     Ok(value)
 }
 
-fn parse_setting(text: &str) -> Result<Value, CliError> {
+fn parse_override(text: &str) -> Result<Value, CliError> {
     if let Some(path) = text.strip_prefix('@') {
         return read_json(Path::new(path));
     }
@@ -144,18 +146,18 @@
     Ok(value.unwrap_or_else(|_| Value::String(text.to_owned())))
 }
 
-/// Where `name`, with dots between sections, stands; made if need be. `None`
-/// when the name is empty or goes through what is no section.
-fn place<'a>(settings: &'a mut Value, name: &str) -> Option<&'a mut Value> {
-    let mut place = settings;
+/// Value at the dotted path `name`, created if it does not exist. `None` if a key of
+/// the path is empty, or if the path leads through a value that is not an object.
+fn slot<'a>(settings: &'a mut Value, name: &str) -> Option<&'a mut Value> {
+    let mut slot = settings;
     for key in name.split('.') {
         if key.is_empty() {
             return None;
         }
-        if place.is_null() {
-            *place = Value::Object(Map::new());
+        if slot.is_null() {
+            *slot = Value::Object(Map::new());
         }
-        place = place.as_object_mut()?.entry(key).or_insert(Value::Null);
+        slot = slot.as_object_mut()?.entry(key).or_insert(Value::Null);
     }
-    Some(place)
+    Some(slot)
 }
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,40 +1,44 @@
-//! Any JSON object, laid out for a person.
+//! Renders any JSON object as human-readable text.
 //!
-//! Plain values at the top come first; every other key becomes a section:
+//! Scalar values at the top level come first. Every other key becomes a section:
 //! aligned pairs for an object, a table for a list of objects or for an object
-//! whose values are objects. A list of objects within a section becomes one of
-//! its own. What is nested deeper is shown with its keys joined
-//! by dots, or as JSON in a table. No field is known by name, so a newer
-//! daemon's status is shown whole.
+//! whose values are objects. A list of objects within a section becomes a section
+//! of its own. Deeper values are shown with their keys joined by dots, or as JSON
+//! in a table. Fields are not known by name, so that all fields of a newer daemon
+//! are shown.
 
 use serde_json::{Map, Value};
 
-use crate::output::plain;
+use crate::output::escape_control;
 
-/// Space between two columns.
-const GAP: &str = "  ";
+/// Separator of columns, and indentation of sections.
+const COLUMN_SEPARATOR: &str = "  ";
 
-/// Lays out `value`.
+/// Renders `value`.
 pub(crate) fn render(value: &Value) -> String {
     let Value::Object(object) = value else {
         return format!("{}\n", cell(value));
     };
-    let (sections, plain_values): (Vec<_>, Vec<_>) =
+    let (sections, scalars): (Vec<_>, Vec<_>) =
         object.iter().partition(|(_, value)| is_section(value));
-    let mut text = lines(&pairs(plain_values), "");
+    let mut text = format_rows(&pairs(scalars), "");
     let sections = sections.into_iter();
-    for (name, value) in sections.flat_map(|(key, value)| with_lists_apart(key, value)) {
+    for (name, value) in sections.flat_map(|(key, value)| split_lists(key, value)) {
         if !text.is_empty() {
             text.push('\n');
         }
-        text.push_str(&format!("{name}\n{}", lines(&section(&value), GAP)));
+        text.push_str(&format!(
+            "{name}\n{}",
+            format_rows(&section(&value), COLUMN_SEPARATOR)
+        ));
     }
     text
 }
 
-/// A section, and one of its own for each list of objects in it.
-fn with_lists_apart(key: &str, value: &Value) -> Vec<(String, Value)> {
-    let name = plain(key);
+/// Splits a section into the section without its lists of objects, and one section for
+/// each of these lists.
+fn split_lists(key: &str, value: &Value) -> Vec<(String, Value)> {
+    let name = escape_control(key);
     let Value::Object(object) = value else {
         return vec![(name, value.clone())];
     };
@@ -47,7 +51,7 @@
         sections.push((name.clone(), Value::Object(rest)));
     }
     let lists = lists.into_iter();
-    sections.extend(lists.map(|(list, rows)| (format!("{name}.{}", plain(&list)), rows)));
+    sections.extend(lists.map(|(list, rows)| (format!("{name}.{}", escape_control(&list)), rows)));
     sections
 }
 
@@ -79,24 +83,24 @@
 fn pairs<'a>(entries: impl IntoIterator<Item = (&'a String, &'a Value)>) -> Vec<Row> {
     let mut rows = Vec::new();
     for (key, value) in entries {
-        flatten(plain(key), value, &mut rows);
+        flatten(escape_control(key), value, &mut rows);
     }
     rows
 }
 
-/// One row for each value that is no object, its keys joined by dots.
+/// Adds a row for each value that is not an object, with its keys joined by dots.
 fn flatten(path: String, value: &Value, rows: &mut Vec<Row>) {
     match value {
         Value::Object(object) if !object.is_empty() => {
-            for (key, below) in object {
-                flatten(format!("{path}.{}", plain(key)), below, rows);
+            for (key, nested) in object {
+                flatten(format!("{path}.{}", escape_control(key)), nested, rows);
             }
         }
         _ => rows.push(vec![path, cell(value)]),
     }
 }
 
-/// A head and a row for each object; the columns are all their keys.
+/// Header and a row for each object; the columns are the union of their keys.
 fn table(rows: &[(Option<&str>, &Value)]) -> Vec<Row> {
     let mut columns: Vec<&String> = Vec::new();
     for key in rows
@@ -109,34 +113,38 @@
         }
     }
     let is_named = rows.iter().any(|(name, _)| name.is_some());
-    let mut head: Row = columns.iter().map(|key| plain(key)).collect();
+    let mut header: Row = columns.iter().map(|key| escape_control(key)).collect();
     if is_named {
-        head.insert(0, "name".to_owned());
+        header.insert(0, "name".to_owned());
     }
     let body = rows.iter().map(|(name, row)| {
         let cells = columns
             .iter()
             .map(|key| row.get(key.as_str()).map_or_else(String::new, cell));
-        name.map(plain).into_iter().chain(cells).collect()
+        name.map(escape_control).into_iter().chain(cells).collect()
     });
-    std::iter::once(head).chain(body).collect()
+    std::iter::once(header).chain(body).collect()
 }
 
 fn cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
-        Value::String(text) => plain(text),
+        Value::String(text) => escape_control(text),
         Value::Array(elements) if elements.is_empty() => "-".to_owned(),
         Value::Object(object) if object.is_empty() => "-".to_owned(),
-        Value::Array(elements) if !elements.iter().any(|one| one.is_object() || one.is_array()) => {
+        Value::Array(elements)
+            if !elements
+                .iter()
+                .any(|element| element.is_object() || element.is_array()) =>
+        {
             elements.iter().map(cell).collect::<Vec<_>>().join(", ")
         }
         other => other.to_string(),
     }
 }
 
-/// `rows` with aligned columns, each line after `indent`.
-fn lines(rows: &[Row], indent: &str) -> String {
+/// Formats `rows` with aligned columns, each line after `indent`.
+fn format_rows(rows: &[Row], indent: &str) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column));
@@ -149,7 +157,7 @@
         let padded: Vec<_> = cells
             .map(|(cell, width)| format!("{cell:width$}"))
             .collect();
-        let line = format!("{indent}{}", padded.join(GAP));
+        let line = format!("{indent}{}", padded.join(COLUMN_SEPARATOR));
         text.push_str(line.trim_end());
         text.push('\n');
     }
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,10 +1,11 @@
-//! `mangofront trace`: a request's story, out of the daemons' structured logs.
+//! `mangofront trace`: prints the history of a request from the daemons' structured logs.
 //!
-//! Lines of any number of daemons come on standard input or from files, in any
-//! order, each perhaps behind a prefix of whatever gathered them. Printed are the
-//! lines that name the request, in the order of their time, and between them what
-//! was told at that time of the upstreams that they name. A request that its daemon
-//! took along when it was killed has no last line; the daemon's next start is shown.
+//! The lines of any number of daemons come from standard input or from files, in any
+//! order, each optionally after a prefix added by a log collector. The command prints
+//! the lines that name the request, ordered by time, together with lines logged around
+//! that time about the upstreams that they name and about dependencies. A request that
+//! was running when its daemon was killed has no final line; in that case the next
+//! start of the daemon is printed.
 
 use std::collections::BTreeSet;
 use std::process::ExitCode;
@@ -13,32 +14,33 @@
 use serde_json::Value;
 
 use crate::error::CliError;
-use crate::lines::{Line, Lines};
+use crate::log_lines::{LogLine, LogLines};
 use crate::output;
 
-/// Time around a request in which lines about its upstreams belong to its story,
+/// Time before and after a request within which lines about its upstreams are printed,
 /// in milliseconds.
-const AROUND_MS: i64 = 3_000;
+const CONTEXT_MS: i64 = 3_000;
 
-/// Time in which a daemon that was killed is started again, in milliseconds.
-const RESTART_MS: i64 = 30_000;
+/// Longest time after which a daemon that was killed is started again, in milliseconds.
+const RESTART_LIMIT_MS: i64 = 30_000;
 
-/// Message of a daemon's first line.
-const STARTED: &str = "daemon: started";
+/// Message of the first line that a daemon logs.
+const DAEMON_STARTED: &str = "daemon: started";
 
-/// Fields that stand at the start of a printed line or say nothing there.
-const LEADING_FIELDS: [&str; 4] = ["time", "level", "message", "request"];
+/// Fields that are not repeated after the message: they are printed at the start of the
+/// line, or are the same on each line.
+const OMITTED_FIELDS: [&str; 4] = ["time", "level", "message", "request"];
 
 pub(crate) fn run(mut arguments: Arguments) -> Result<ExitCode, CliError> {
     let request: String = arguments.free_from_str()?;
-    let read = Lines::read(arguments)?;
-    let story = story(&read.lines, &request);
-    for line in &story {
-        output::print(&format!("{}\n", sentence(line)))?;
+    let read = LogLines::read(arguments)?;
+    let history = history(&read.lines, &request);
+    for line in &history {
+        output::print(&format!("{}\n", render(line)))?;
     }
-    read.report_passed_over("trace");
-    if story.is_empty() {
-        return Err(CliError::NoSuchRequest {
+    read.report_skipped("trace");
+    if history.is_empty() {
+        return Err(CliError::RequestNotFound {
             request,
             lines: read.lines.len(),
         });
@@ -46,11 +48,12 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The lines of a request, with those about its upstreams around it.
-fn story<'a>(lines: &'a [Line], request: &str) -> Vec<&'a Line> {
-    let names = |line: &Line, name: &str| line.fields.get(name)?.as_str().map(str::to_owned);
-    let is_own = |line: &Line| names(line, "request").as_deref() == Some(request);
-    let own: Vec<&Line> = lines.iter().filter(|line| is_own(line)).collect();
+/// Lines of a request, and lines about its upstreams and about dependencies from around
+/// the same time.
+fn history<'a>(lines: &'a [LogLine], request: &str) -> Vec<&'a LogLine> {
+    let text = |line: &LogLine, name: &str| line.fields.get(name)?.as_str().map(str::to_owned);
+    let is_own = |line: &LogLine| text(line, "request").as_deref() == Some(request);
+    let own: Vec<&LogLine> = lines.iter().filter(|line| is_own(line)).collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
         return Vec::new();
     };
@@ -59,59 +62,60 @@
         .filter_map(|line| line.fields.get("took_ms")?.as_i64())
         .max()
         .unwrap_or(0);
-    let from = first.time_ms.min(last.time_ms - took_ms) - AROUND_MS;
-    let until = last.time_ms + AROUND_MS;
+    let from = first.time_ms.min(last.time_ms - took_ms) - CONTEXT_MS;
+    let until = last.time_ms + CONTEXT_MS;
     let upstreams: BTreeSet<String> = own
         .iter()
-        .filter_map(|line| names(line, "upstream"))
+        .filter_map(|line| text(line, "upstream"))
         .collect();
-    let is_around = |line: &Line| {
+    let is_context = |line: &LogLine| {
         let is_near = (from..=until).contains(&line.time_ms);
-        let is_named = names(line, "upstream").is_some_and(|one| upstreams.contains(&one));
-        let is_of_others = line.fields.contains_key("request");
+        let is_named = text(line, "upstream").is_some_and(|upstream| upstreams.contains(&upstream));
+        let has_request = line.fields.contains_key("request");
         let is_dependency = line.fields.contains_key("dependency");
-        is_near && !is_of_others && (is_named || is_dependency)
+        is_near && !has_request && (is_named || is_dependency)
     };
-    let has_ended = own
+    let is_complete = own
         .iter()
         .any(|line| line.fields.contains_key("took_ms") || line.fields.contains_key("status"));
-    let lost_with = lines.iter().find(|line| {
+    let restart = lines.iter().find(|line| {
         let is_same_daemon = own.iter().any(|own| own.daemon() == line.daemon());
-        let is_later = (first.time_ms..=last.time_ms + RESTART_MS).contains(&line.time_ms);
-        !has_ended
+        let is_later = (first.time_ms..=last.time_ms + RESTART_LIMIT_MS).contains(&line.time_ms);
+        !is_complete
             && is_same_daemon
             && is_later
-            && names(line, "message").as_deref() == Some(STARTED)
+            && text(line, "message").as_deref() == Some(DAEMON_STARTED)
     });
-    let is_restart = |line: &Line| lost_with.is_some_and(|restart| std::ptr::eq(restart, line));
+    let is_restart = |line: &LogLine| restart.is_some_and(|restart| std::ptr::eq(restart, line));
     lines
         .iter()
-        .filter(|line| is_own(line) || is_around(line) || is_restart(line))
+        .filter(|line| is_own(line) || is_context(line) || is_restart(line))
         .collect()
 }
 
-fn sentence(line: &Line) -> String {
+/// Line as it is printed: time, source, message and the remaining fields.
+fn render(line: &LogLine) -> String {
     let text = |name: &str| {
         line.fields
             .get(name)
             .and_then(Value::as_str)
             .unwrap_or_default()
     };
-    let mut sentence = format!("{} {}", text("time"), text("message"));
+    let mut rendered = format!("{} {}", text("time"), text("message"));
     if !line.source.is_empty() {
-        sentence = format!("{} [{}] {}", text("time"), line.source, text("message"));
+        rendered = format!("{} [{}] {}", text("time"), line.source, text("message"));
     }
     let shown = line
         .fields
         .iter()
-        .filter(|(name, _)| !LEADING_FIELDS.contains(&name.as_str()));
+        .filter(|(name, _)| !OMITTED_FIELDS.contains(&name.as_str()));
     for (name, value) in shown {
         let value = match value {
             Value::String(text) if text.is_empty() => continue,
-            Value::String(text) => output::plain(text),
+            Value::String(text) => output::escape_control(text),
             other => other.to_string(),
         };
-        sentence += &format!(" {name}={value}");
+        rendered += &format!(" {name}={value}");
     }
-    sentence
+    rendered
 }
