--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -58,7 +58,8 @@
 /// hundreds of upstreams, a daemon may reuse a connection only after several seconds.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs a daemon that serves published routes until it receives a stop signal and has drained.
+/// Runs a daemon that serves published routes until it receives a stop signal and has
+/// drained.
 ///
 /// # Errors
 /// [`DaemonError`] if the daemon can't start.
