--- a/src/bin/mangofront.rs
+++ b/src/bin/mangofront.rs
@@ -1,4 +1,4 @@
-//! The operator's tool.
+//! Entry point of `mangofront`, the operator's command line tool.
 
 use std::process::ExitCode;
 
--- a/src/bin/mangofrontd.rs
+++ b/src/bin/mangofrontd.rs
@@ -1,4 +1,4 @@
-//! The daemon on each entry instance.
+//! Entry point of `mangofrontd`, the daemon that runs on each entry instance.
 
 use std::process::ExitCode;
 
