--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,7 +1,7 @@
 # Functions that start and stop a small fleet of processes on loopback.
 #
-# Sourced by the demo and the experiments. Every process started is ended by
-# its id when the script that sources this file exits, however it exits.
+# Sourced by the demo and the experiments. When the sourcing script exits, for
+# whatever reason, every started process is terminated by its process ID.
 
 FLEET_BIN=${FLEET_BIN:-target/release}
 FLEET_PORT=${FLEET_PORT:-23000}
@@ -12,7 +12,7 @@
 FLEET_DAEMONS=()
 FLEET_DAEMON_PIDS=()
 FLEET_INSTANCES=()
-# Further arguments of every daemon.
+# Additional command-line arguments for every daemon.
 FLEET_DAEMON_ARGUMENTS=()
 
 fleet_stop() {
@@ -28,7 +28,8 @@
 }
 trap fleet_stop EXIT
 
-# fleet_run NAME COMMAND...: starts a process, its output in a file.
+# fleet_run NAME COMMAND...: starts a process in the background and redirects its
+# output to $FLEET_DIR/NAME.log.
 fleet_run() {
     local name=$1
     shift
@@ -36,12 +37,13 @@
     FLEET_PIDS+=($!)
 }
 
-# fleet_instance NAME ZONE ROLE_JSON: adds an entry to the platform's list.
+# fleet_instance NAME ZONE ROLE_JSON: adds an entry to the platform's instance list.
 fleet_instance() {
     FLEET_INSTANCES+=("{\"instance\":\"$1\",\"region\":\"region-1\",\"availability_zone\":\"$2\",\"state\":\"live\",\"role\":$3}")
 }
 
-# fleet_engine NAME ZONE MODEL [--set NAME=VALUE]...
+# fleet_engine NAME ZONE MODEL [--set NAME=VALUE]...: starts an emulated engine and
+# lists it.
 fleet_engine() {
     local name=$1 zone=$2 model=$3
     shift 3
@@ -51,7 +53,8 @@
     fleet_run "$name" "$FLEET_BIN/mangofront" standin engine --address "$address" --set "model=$model" "$@"
 }
 
-# fleet_service NAME ZONE SERVICE [--set NAME=VALUE]...
+# fleet_service NAME ZONE SERVICE [--set NAME=VALUE]...: starts an emulated service
+# instance and lists it.
 fleet_service() {
     local name=$1 zone=$2 service=$3
     shift 3
@@ -61,7 +64,8 @@
     fleet_run "$name" "$FLEET_BIN/mangofront" standin service --address "$address" "$@"
 }
 
-# fleet_daemon NAME ZONE: lists a daemon; fleet_start starts it.
+# fleet_daemon NAME ZONE: lists a daemon and writes its settings; fleet_start
+# starts the process.
 fleet_daemon() {
     local name=$1 zone=$2 index=${#FLEET_DAEMONS[@]}
     local callers=127.0.0.1:$((FLEET_PORT + 300 + index))
@@ -83,7 +87,8 @@
 SETTINGS
 }
 
-# fleet_start CONFIGURATION_FILE: starts the platform and the daemons.
+# fleet_start CONFIGURATION_FILE: starts the platform and the daemons, and waits
+# until all daemons are ready.
 fleet_start() {
     local list name
     list=$(IFS=,; echo "${FLEET_INSTANCES[*]}")
@@ -99,7 +104,8 @@
     fleet_wait_ready
 }
 
-# fleet_wait_ready: waits until every daemon knows the configuration.
+# fleet_wait_ready: waits until every daemon has a configuration, which is when
+# /v1/models succeeds.
 fleet_wait_ready() {
     local index tries
     for index in "${!FLEET_DAEMONS[@]}"; do
@@ -116,7 +122,7 @@
     done
 }
 
-# fleet_targets: caller addresses of all daemons, with commas.
+# fleet_targets: prints the caller addresses of all daemons, comma-separated.
 fleet_targets() {
     local index targets=()
     for index in "${!FLEET_DAEMONS[@]}"; do
@@ -125,7 +131,7 @@
     (IFS=,; echo "${targets[*]}")
 }
 
-# fleet_admin INDEX: operators' address of a daemon.
+# fleet_admin INDEX: prints the admin address of a daemon.
 fleet_admin() {
     echo "127.0.0.1:$((FLEET_PORT + 500 + $1))"
 }
@@ -135,9 +141,10 @@
     curl -sf -o /dev/null -m 5 -X PUT --data-binary "@$2" "127.0.0.1:$FLEET_PORT/control/$1"
 }
 
-# fleet_vouch CONFIGURATION_FILE: publishes that no idempotency key was sent
-# before now, which is true of a fleet that has just started. Voters take the
-# word from 2 s after they got the instance list on.
+# fleet_vouch CONFIGURATION_FILE: publishes the current time as the fleet's first
+# start, which declares that no idempotency key was sent before. Voters accept the
+# declaration only if it is at least 2 s (their clock margin) later than the
+# moment at which they received the instance list.
 fleet_vouch() {
     sleep 3
     sed "s/\"first_start_unix_ms\": 0/\"first_start_unix_ms\": $(date +%s%3N)/" "$1" >"$1.vouched"
