--- a/examples/capacity/documents.rs
+++ b/examples/capacity/documents.rs
@@ -1,98 +1,99 @@
-//! Costs of the published values: their size and their changes.
+//! Costs of the published configuration and instance list: of their size and of changes.
 
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
 
-use crate::control::{all_series, idle};
+use crate::control::{fit_all_costs, measure_idle};
 use crate::fit::Series;
-use crate::fleet::{Fleet, Shape};
+use crate::fleet::{Fleet, FleetSpec};
 use crate::measure::cpu;
-use crate::{Failure, Plan};
+use crate::{BoxError, RunOptions};
 
-/// Daemons that take the changes: two zones, so that some learn by relay.
+/// Number of daemons that receive the changes. They are in two zones, so that some of them
+/// receive a change from another daemon instead of the platform.
 const DAEMONS: u16 = 8;
 
-/// Pause between two changes.
-const CHANGE_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between two changes.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for a change to be in force everywhere before the run fails.
-const CHANGE_LIMIT: Duration = Duration::from_secs(60);
+/// Limit on the time until a change is in force at every daemon.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause between looks whether a change is in force.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+/// Interval at which a daemon is polled for the revision in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Organisations in the configuration, without requests.
-pub async fn organisations(plan: &Plan) -> Result<Vec<Series>, Failure> {
-    let mut uses = Vec::new();
+/// Varies the number of organisations in the configuration, without requests.
+pub async fn organisations(options: &RunOptions) -> Result<Vec<Series>, BoxError> {
+    let mut usages = Vec::new();
     for organisations in [10_usize, 100, 340, 1000] {
-        let shape = Shape {
+        let spec = FleetSpec {
             organisations,
-            ..Shape::default()
+            ..FleetSpec::default()
         };
-        uses.push((organisations as f64, idle(plan, shape).await?));
+        usages.push((organisations as f64, measure_idle(options, spec).await?));
     }
-    Ok(all_series("organisations", "organisations", &uses))
+    Ok(fit_all_costs("organisations", "organisations", &usages))
 }
 
-/// Instances in the list: engines of another region, which nobody reads.
-pub async fn instances(plan: &Plan) -> Result<Vec<Series>, Failure> {
-    let mut costs = Changes::new("instances", "instances listed");
-    for far_engines in [500_usize, 1500, 3000, 6000] {
-        let shape = Shape {
+/// Varies the number of listed instances: engines of a region without daemons.
+pub async fn instances(options: &RunOptions) -> Result<Vec<Series>, BoxError> {
+    let mut costs = ChangeCosts::new("instances", "instances listed");
+    for remote_engines in [500_usize, 1500, 3000, 6000] {
+        let spec = FleetSpec {
             daemons: DAEMONS,
-            far_engines,
-            ..Shape::default()
+            remote_engines,
+            ..FleetSpec::default()
         };
-        let fleet = Fleet::start(plan, shape).await?;
-        compio::time::sleep(plan.settle()).await;
+        let fleet = Fleet::start(options, spec).await?;
+        compio::time::sleep(options.settle_time()).await;
         let publish = |change| fleet.instances(change);
-        let cost = change_cost(plan, &fleet, "instances", publish).await?;
-        costs.add(far_engines as f64, cost);
+        let cost = measure_change_cost(options, &fleet, "instances", publish).await?;
+        costs.add(remote_engines as f64, cost);
     }
     Ok(costs.series())
 }
 
-/// Size of the configuration up to a megabyte.
-pub async fn changes(plan: &Plan) -> Result<Vec<Series>, Failure> {
-    let mut costs = Changes::new("changes", "bytes of the configuration");
+/// Varies the size of the configuration, up to about 1 MB.
+pub async fn changes(options: &RunOptions) -> Result<Vec<Series>, BoxError> {
+    let mut costs = ChangeCosts::new("changes", "bytes of the configuration");
     for organisations in [200_usize, 2000, 6000, 17_000] {
-        let shape = Shape {
+        let spec = FleetSpec {
             daemons: DAEMONS,
             organisations,
-            ..Shape::default()
+            ..FleetSpec::default()
         };
-        let fleet = Fleet::start(plan, shape).await?;
-        compio::time::sleep(plan.settle()).await;
+        let fleet = Fleet::start(options, spec).await?;
+        compio::time::sleep(options.settle_time()).await;
         let publish = |change| fleet.configuration(organisations, change);
-        let cost = change_cost(plan, &fleet, "configuration", publish).await?;
+        let cost = measure_change_cost(options, &fleet, "configuration", publish).await?;
         costs.add(cost.value_bytes, cost);
     }
     Ok(costs.series())
 }
 
-/// Time of a change to all daemons of one region with two zones.
-pub async fn spread(plan: &Plan) -> Result<Vec<Series>, Failure> {
-    let sizes: &[u16] = if plan.quick {
+/// Measures how long a change takes to reach all daemons of one region with two zones.
+pub async fn propagation(options: &RunOptions) -> Result<Vec<Series>, BoxError> {
+    let sizes: &[u16] = if options.quick {
         &[2, 4, 8, 16]
     } else {
         &[8, 16, 32, 64]
     };
-    let changes = if plan.quick { 2 } else { 8 };
+    let changes = if options.quick { 2 } else { 8 };
     let (mut slowest, mut mean) = (Vec::new(), Vec::new());
     for &daemons in sizes {
-        let shape = Shape {
+        let spec = FleetSpec {
             daemons,
-            ..Shape::default()
+            ..FleetSpec::default()
         };
-        let fleet = Fleet::start(plan, shape).await?;
-        compio::time::sleep(plan.settle()).await;
+        let fleet = Fleet::start(options, spec).await?;
+        compio::time::sleep(options.settle_time()).await;
         let mut times = Vec::new();
         for change in 1..=changes {
-            let value = fleet.configuration(Shape::default().organisations, change);
-            let taken = time_in_force(&fleet, "configuration", &value).await?;
-            times.push(taken.as_secs_f64() * 1000.0);
-            compio::time::sleep(CHANGE_PAUSE).await;
+            let value = fleet.configuration(FleetSpec::default().organisations, change);
+            let elapsed = publish_until_in_force(&fleet, "configuration", &value).await?;
+            times.push(elapsed.as_secs_f64() * 1000.0);
+            compio::time::sleep(CHANGE_INTERVAL).await;
         }
         let size = f64::from(daemons);
         slowest.push([size, times.iter().copied().fold(0.0, f64::max)]);
@@ -115,9 +116,9 @@
     ])
 }
 
-/// What one change cost a daemon.
+/// Mean cost of one change for one daemon.
 #[derive(Debug, Clone, Copy, Default)]
-struct Cost {
+struct ChangeCost {
     value_bytes: f64,
     cpu_ms: f64,
     relayed_bytes: f64,
@@ -125,27 +126,27 @@
     slowest_ms: f64,
 }
 
-/// Publishes changes one after the other; the mean of their costs.
+/// Publishes changes one after the other and returns the mean of their costs.
 ///
-/// The time until a change is in force is that of other changes than those
-/// whose processor time counts, since looking costs some.
-async fn change_cost(
-    plan: &Plan,
+/// The time until a change is in force and the processor time are measured on different
+/// changes, since polling the daemons for the revision costs them processor time.
+async fn measure_change_cost(
+    options: &RunOptions,
     fleet: &Fleet,
     kind: &str,
     publish: impl Fn(u64) -> Value,
-) -> Result<Cost, Failure> {
-    let changes: u64 = if plan.quick { 1 } else { 4 };
-    let mut cost = Cost {
+) -> Result<ChangeCost, BoxError> {
+    let changes: u64 = if options.quick { 1 } else { 4 };
+    let mut cost = ChangeCost {
         value_bytes: publish(1).to_string().len() as f64,
-        ..Cost::default()
+        ..ChangeCost::default()
     };
     for change in 1..=changes {
-        let taken = time_in_force(fleet, kind, &publish(change)).await?;
-        cost.slowest_ms = cost.slowest_ms.max(taken.as_secs_f64() * 1000.0);
-        compio::time::sleep(CHANGE_PAUSE).await;
+        let elapsed = publish_until_in_force(fleet, kind, &publish(change)).await?;
+        cost.slowest_ms = cost.slowest_ms.max(elapsed.as_secs_f64() * 1000.0);
+        compio::time::sleep(CHANGE_INTERVAL).await;
     }
-    let quiet = spent(fleet, changes, || async { Ok(()) }).await?;
+    let idle_cpu = cpu_spent_during(fleet, changes, || async { Ok(()) }).await?;
     let mut number = changes;
     let values: Vec<Value> = (0..changes)
         .map(|_| {
@@ -153,9 +154,9 @@
             publish(number)
         })
         .collect();
-    let relayed_before = relayed(fleet).await?;
+    let relayed_before = total_relayed_bytes(fleet).await?;
     let mut values = values.iter();
-    let busy = spent(fleet, changes, || {
+    let busy_cpu = cpu_spent_during(fleet, changes, || {
         let value = values.next();
         async move {
             match value {
@@ -165,9 +166,10 @@
         }
     })
     .await?;
-    let each = (changes as f64) * fleet.daemon_count() as f64;
-    cost.cpu_ms = (busy.as_secs_f64() - quiet.as_secs_f64()).max(0.0) * 1000.0 / each;
-    cost.relayed_bytes = (relayed(fleet).await? - relayed_before) / each;
+    let applied_changes = (changes as f64) * fleet.daemon_count() as f64;
+    cost.cpu_ms =
+        (busy_cpu.as_secs_f64() - idle_cpu.as_secs_f64()).max(0.0) * 1000.0 / applied_changes;
+    cost.relayed_bytes = (total_relayed_bytes(fleet).await? - relayed_before) / applied_changes;
     for daemon in 0..fleet.daemon_count() {
         cost.resident_mb += crate::measure::resident_mb(fleet.pid(daemon))?;
     }
@@ -175,71 +177,84 @@
     Ok(cost)
 }
 
-/// Processor time of all daemons while `act` runs `times`, a pause apart.
-async fn spent<F, A>(fleet: &Fleet, times: u64, mut act: A) -> Result<Duration, Failure>
+/// Returns the processor time of all daemons while `action` runs `times` times, at
+/// [`CHANGE_INTERVAL`].
+async fn cpu_spent_during<F, A>(
+    fleet: &Fleet,
+    times: u64,
+    mut action: A,
+) -> Result<Duration, BoxError>
 where
     A: FnMut() -> F,
-    F: Future<Output = Result<(), Failure>>,
+    F: Future<Output = Result<(), BoxError>>,
 {
-    let before = cpu_of(fleet)?;
+    let before = cpu_of_all_daemons(fleet)?;
     for _ in 0..times {
-        act().await?;
-        compio::time::sleep(CHANGE_PAUSE).await;
+        action().await?;
+        compio::time::sleep(CHANGE_INTERVAL).await;
     }
-    Ok(cpu_of(fleet)?.saturating_sub(before))
+    Ok(cpu_of_all_daemons(fleet)?.saturating_sub(before))
 }
 
-fn cpu_of(fleet: &Fleet) -> Result<Duration, Failure> {
+fn cpu_of_all_daemons(fleet: &Fleet) -> Result<Duration, BoxError> {
     (0..fleet.daemon_count())
         .map(|daemon| cpu(fleet.pid(daemon)))
         .sum()
 }
 
-/// Bytes that all daemons carried between them, each counted once.
-async fn relayed(fleet: &Fleet) -> Result<f64, Failure> {
+/// Bytes of all calls between daemons, counted once, at the receiver.
+async fn total_relayed_bytes(fleet: &Fleet) -> Result<f64, BoxError> {
     let mut bytes = 0.0;
     for daemon in 0..fleet.daemon_count() {
-        let status = fleet.operator(daemon)?.get_json("/status").await?;
+        let status = fleet.admin_client(daemon)?.get_json("/status").await?;
         let received = &status["peers"]["calls"]["bytes_received"];
         bytes += received.as_f64().unwrap_or_default();
     }
     Ok(bytes)
 }
 
-/// Publishes `value` and waits until every daemon has it.
-async fn time_in_force(fleet: &Fleet, kind: &str, value: &Value) -> Result<Duration, Failure> {
+/// Publishes `value`, waits until it is in force at every daemon and returns how long that took.
+async fn publish_until_in_force(
+    fleet: &Fleet,
+    kind: &str,
+    value: &Value,
+) -> Result<Duration, BoxError> {
     let before = revision(fleet, 0, kind).await?;
     let published = Instant::now();
     fleet.publish(kind, value).await?;
     for daemon in 0..fleet.daemon_count() {
         while revision(fleet, daemon, kind).await? == before {
-            if published.elapsed() > CHANGE_LIMIT {
-                return Err(format!("daemon {daemon} has not taken a change of {kind}").into());
+            if published.elapsed() > CHANGE_TIMEOUT {
+                return Err(
+                    format!("daemon {daemon} did not apply a change of {kind} in time").into(),
+                );
             }
-            compio::time::sleep(LOOK_PAUSE).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
     Ok(published.elapsed())
 }
 
-async fn revision(fleet: &Fleet, daemon: usize, kind: &str) -> Result<u64, Failure> {
-    let status = fleet.operator(daemon)?.get_json("/status").await?;
+async fn revision(fleet: &Fleet, daemon: usize, kind: &str) -> Result<u64, BoxError> {
+    let status = fleet.admin_client(daemon)?.get_json("/status").await?;
     let accepted = &status["platform"][kind]["accepted"]["revision"];
-    accepted.as_u64().ok_or_else(|| "no revision".into())
+    accepted
+        .as_u64()
+        .ok_or_else(|| "the status has no accepted revision".into())
 }
 
-/// What a cost is, with its unit, and where it stands.
-type NamedCost = (&'static str, fn(&Cost) -> f64);
+/// Label of a cost, with its unit, and the function that reads it.
+type NamedCost = (&'static str, fn(&ChangeCost) -> f64);
 
-/// Points of all costs of a change.
+/// Costs of a change at each measured size.
 #[derive(Debug)]
-struct Changes {
+struct ChangeCosts {
     name: &'static str,
     x: &'static str,
-    points: Vec<(f64, Cost)>,
+    points: Vec<(f64, ChangeCost)>,
 }
 
-impl Changes {
+impl ChangeCosts {
     fn new(name: &'static str, x: &'static str) -> Self {
         Self {
             name,
@@ -248,7 +263,7 @@
         }
     }
 
-    fn add(&mut self, x: f64, cost: Cost) {
+    fn add(&mut self, x: f64, cost: ChangeCost) {
         self.points.push((x, cost));
     }
 
--- a/examples/capacity/fit.rs
+++ b/examples/capacity/fit.rs
@@ -1,27 +1,27 @@
-//! Lines through measured points, by least squares.
+//! Fits lines to measured points by least squares.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// One cost against one size.
+/// Measured points of one cost against one size, with the line fitted to them.
 #[derive(Debug, Clone, Serialize)]
 pub struct Series {
-    /// Name of the slope, such as `daemons`.
+    /// Name of the measurement, as `--only` takes it, such as `daemons`.
     pub name: String,
-    /// What is varied, with its unit.
+    /// Label of the varied size, with its unit.
     pub x: String,
-    /// What is measured of one daemon, with its unit.
+    /// Label of the cost measured at one daemon, with its unit.
     pub y: String,
-    /// Every measured point, by size.
+    /// Measured points, as size and cost.
     pub points: Vec<[f64; 2]>,
-    /// Line's value at size 0.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// Line's growth for each unit of size.
+    /// Growth of the line for each unit of size.
     pub slope: f64,
-    /// Root mean square of the points' distances from the line.
+    /// Root mean square of the vertical distances of the points from the line.
     pub residual: f64,
-    /// Share of the variance that the line explains.
+    /// Coefficient of determination: the share of the variance that the line explains.
     pub r2: f64,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Five significant digits.
+/// Rounds to five significant digits.
 fn round(value: f64) -> f64 {
     format!("{value:.4e}").parse().unwrap_or(value)
 }
--- a/examples/capacity/main.rs
+++ b/examples/capacity/main.rs
@@ -1,13 +1,12 @@
-//! Measures, with real processes on one machine, how a daemon's costs grow.
+//! Measures how a daemon's resource use grows, with real processes on one machine.
 //!
 //! `capacity [--quick] [--binaries DIR] [--port N] [--only NAME]... [--json FILE]`
 //! starts small fleets of daemons and stand-ins, varies one size at a time, and
-//! fits a line by least squares to what each daemon used. The points, the
-//! lines and their residuals are printed and written as JSON; the page
-//! docs/CAPACITY.md is worked out from that file. `scripts/capacity` builds
-//! and runs it.
+//! fits a line by least squares to the resource use of one daemon. The points,
+//! the lines and their residuals are printed and written as JSON, from which
+//! docs/CAPACITY.md is derived. `scripts/capacity` builds and runs this example.
 
-mod callers;
+mod client;
 mod control;
 mod documents;
 mod fit;
@@ -24,33 +23,33 @@
 
 use fit::Series;
 
-/// Number of the signal of an interrupt key, by POSIX.
+/// POSIX number of the interrupt signal, SIGINT.
 const SIGINT: i32 = 2;
 
-/// Any failure ends the run: half a slope is of no use.
-type Failure = Box<dyn Error>;
+/// Any error ends the run, since a series with missing points would give a wrong line.
+type BoxError = Box<dyn Error>;
 
-/// How a run is made.
+/// Command-line options that the measurements depend on.
 #[derive(Debug, Clone)]
-struct Plan {
+struct RunOptions {
     quick: bool,
     binaries: PathBuf,
     port: u16,
 }
 
-impl Plan {
-    /// Time before a measurement, for links and caches to settle.
-    fn settle(&self) -> Duration {
+impl RunOptions {
+    /// Delay before a measurement, in which connections and caches reach a steady state.
+    fn settle_time(&self) -> Duration {
         Duration::from_millis(if self.quick { 2200 } else { 5000 })
     }
 
-    /// Time of one measurement.
-    fn window(&self) -> Duration {
+    /// Duration of one measurement.
+    fn measurement_window(&self) -> Duration {
         Duration::from_millis(if self.quick { 1000 } else { 8000 })
     }
 }
 
-/// What is written as JSON.
+/// Results of a run, as written to the JSON file.
 #[derive(Debug, Serialize)]
 struct Report {
     quick: bool,
@@ -62,9 +61,9 @@
 }
 
 #[compio::main]
-async fn main() -> Result<(), Failure> {
+async fn main() -> Result<(), BoxError> {
     let mut arguments = pico_args::Arguments::from_env();
-    let plan = Plan {
+    let options = RunOptions {
         quick: arguments.contains("--quick"),
         binaries: arguments
             .opt_value_from_str("--binaries")?
@@ -76,8 +75,8 @@
         .opt_value_from_str("--json")?
         .unwrap_or_else(|| "out/capacity.json".into());
     let interrupted = std::pin::pin!(compio::signal::unix::signal(SIGINT));
-    let measuring = std::pin::pin!(measure_all(&plan, &only));
-    // A fleet that is dropped ends its processes.
+    let measuring = std::pin::pin!(measure_all(&options, &only));
+    // On an interrupt, dropping the measurement drops its fleet, which kills the processes.
     let report = match select(measuring, interrupted).await {
         Either::Left((report, _)) => report?,
         Either::Right(_) => return Err("interrupted".into()),
@@ -90,7 +89,7 @@
     Ok(())
 }
 
-async fn measure_all(plan: &Plan, only: &[String]) -> Result<Report, Failure> {
+async fn measure_all(options: &RunOptions, only: &[String]) -> Result<Report, BoxError> {
     let started = Instant::now();
     let load_average_at_start = measure::load_average()?;
     let mut series = Vec::new();
@@ -109,31 +108,31 @@
         "prompts",
         "orders",
     ] {
-        if !only.is_empty() && !only.iter().any(|wanted| wanted == name) {
+        if !only.is_empty() && !only.iter().any(|selected| selected == name) {
             continue;
         }
         let measured = match name {
-            "daemons" => control::daemons(plan).await,
-            "voters" => control::voters(plan).await,
-            "engines" => control::engines(plan).await,
-            "organisations" => documents::organisations(plan).await,
-            "instances" => documents::instances(plan).await,
-            "changes" => documents::changes(plan).await,
-            "spread" => documents::spread(plan).await,
-            "streams" => requests::streams(plan).await,
-            "tokens" => requests::tokens(plan).await,
-            "placements" => requests::placements(plan).await,
-            "requests" => requests::requests(plan).await,
-            "prompts" => requests::prompts(plan).await,
-            _ => requests::orders(plan).await,
+            "daemons" => control::daemons(options).await,
+            "voters" => control::voters(options).await,
+            "engines" => control::engines(options).await,
+            "organisations" => documents::organisations(options).await,
+            "instances" => documents::instances(options).await,
+            "changes" => documents::changes(options).await,
+            "spread" => documents::propagation(options).await,
+            "streams" => requests::streams(options).await,
+            "tokens" => requests::tokens(options).await,
+            "placements" => requests::placements(options).await,
+            "requests" => requests::requests(options).await,
+            "prompts" => requests::prompts(options).await,
+            _ => requests::orders(options).await,
         }?;
-        for one in &measured {
-            println!("{one}");
+        for fit in &measured {
+            println!("{fit}");
         }
         series.extend(measured);
     }
     Ok(Report {
-        quick: plan.quick,
+        quick: options.quick,
         processors: std::thread::available_parallelism()?.get(),
         load_average_at_start,
         load_average_at_end: measure::load_average()?,
--- a/examples/capacity/measure.rs
+++ b/examples/capacity/measure.rs
@@ -1,29 +1,29 @@
-//! What one daemon used over a while.
+//! Measures the resource use of daemons.
 
 use std::fs;
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
 
-use crate::Failure;
+use crate::BoxError;
 use crate::fleet::Fleet;
 
-/// Use of a daemon, the mean of all daemons of a fleet.
+/// Resource use of one daemon, as the mean over all daemons of a fleet.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Use {
-    /// Processor time, in milliseconds for each second: ten are 1% of a core.
+pub struct Usage {
+    /// Processor time, in milliseconds a second; 10 ms/s are 1% of a core.
     pub cpu_ms_per_s: f64,
-    /// Resident memory at the end, in megabytes.
+    /// Resident memory at the end of the measurement, in megabytes.
     pub resident_mb: f64,
     /// Gossip sent and received, in bytes a second.
     pub gossip_bytes_per_s: f64,
     /// Calls between daemons sent and received, in bytes a second.
     pub calls_bytes_per_s: f64,
-    /// Short calls to engines, both directions, in bytes a second.
+    /// Short calls to engines, sent and received, in bytes a second.
     pub engines_bytes_per_s: f64,
-    /// Short calls to engines, a second.
+    /// Number of short calls to engines a second.
     pub engine_calls_per_s: f64,
-    /// Calls to the platform, a minute.
+    /// Number of calls to the platform a minute.
     pub platform_calls_per_min: f64,
 }
 
@@ -39,9 +39,9 @@
 
 /// Measures all daemons of `fleet` over `window`.
 ///
-/// The counters are read outside of the window in which processor time is
-/// counted, since the daemon spends some on the answer.
-pub async fn measure(fleet: &Fleet, window: Duration) -> Result<Use, Failure> {
+/// The counters are read outside of the window in which processor time is measured, since
+/// answering the status requests costs the daemon processor time.
+pub async fn measure(fleet: &Fleet, window: Duration) -> Result<Usage, BoxError> {
     let mut before = Vec::new();
     for daemon in 0..fleet.daemon_count() {
         before.push((counters(fleet, daemon).await?, Instant::now()));
@@ -55,7 +55,7 @@
         .zip(&cpu)
         .map(|(after, before)| after.saturating_sub(*before))
         .collect();
-    let mut total = Use::default();
+    let mut total = Usage::default();
     for (daemon, (before, since)) in before.iter().enumerate() {
         let after = counters(fleet, daemon).await?;
         let passed_s = since.elapsed().as_secs_f64();
@@ -71,7 +71,7 @@
     Ok(total.divided_by(fleet.daemon_count() as f64))
 }
 
-impl Use {
+impl Usage {
     fn divided_by(self, daemons: f64) -> Self {
         Self {
             cpu_ms_per_s: self.cpu_ms_per_s / daemons,
@@ -85,14 +85,14 @@
     }
 }
 
-async fn counters(fleet: &Fleet, daemon: usize) -> Result<Counters, Failure> {
-    let status = fleet.operator(daemon)?.get_json("/status").await?;
-    let both = |part: &Value| number(&part["bytes_sent"]) + number(&part["bytes_received"]);
+async fn counters(fleet: &Fleet, daemon: usize) -> Result<Counters, BoxError> {
+    let status = fleet.admin_client(daemon)?.get_json("/status").await?;
+    let total_bytes = |part: &Value| number(&part["bytes_sent"]) + number(&part["bytes_received"]);
     let platform = &status["platform"];
     Ok(Counters {
-        gossip_bytes: both(&status["peers"]["gossip"]),
-        calls_bytes: both(&status["peers"]["calls"]),
-        engines_bytes: both(&status["engine_calls"]),
+        gossip_bytes: total_bytes(&status["peers"]["gossip"]),
+        calls_bytes: total_bytes(&status["peers"]["calls"]),
+        engines_bytes: total_bytes(&status["engine_calls"]),
         engine_calls: number(&status["engine_calls"]["messages"]),
         platform_calls: number(&platform["reads"]) + number(&platform["watches"]),
     })
@@ -102,7 +102,7 @@
     value.as_f64().unwrap_or_default()
 }
 
-fn cpu_of_all(fleet: &Fleet) -> Result<Vec<Duration>, Failure> {
+fn cpu_of_all(fleet: &Fleet) -> Result<Vec<Duration>, BoxError> {
     (0..fleet.daemon_count())
         .map(|daemon| cpu(fleet.pid(daemon)))
         .collect()
@@ -110,12 +110,12 @@
 
 /// Processor time of all threads of a process.
 ///
-/// `schedstat` counts nanoseconds, where `stat` counts ticks of 10 ms.
-pub fn cpu(pid: u32) -> Result<Duration, Failure> {
+/// Reads `schedstat`, which counts nanoseconds; `stat` counts ticks of 10 ms.
+pub fn cpu(pid: u32) -> Result<Duration, BoxError> {
     let mut spent = Duration::ZERO;
     for task in fs::read_dir(format!("/proc/{pid}/task"))? {
         let Ok(text) = fs::read_to_string(task?.path().join("schedstat")) else {
-            // The thread ended in between.
+            // The thread exited after the directory was listed.
             continue;
         };
         let nanoseconds = text.split_whitespace().next().unwrap_or_default();
@@ -125,16 +125,18 @@
 }
 
 /// Resident memory of a process, in megabytes.
-pub fn resident_mb(pid: u32) -> Result<f64, Failure> {
+pub fn resident_mb(pid: u32) -> Result<f64, BoxError> {
     let status = fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let kib = line.and_then(|line| line.split_whitespace().nth(1));
-    let kib: f64 = kib.ok_or("no VmRSS")?.parse()?;
+    let kib: f64 = kib
+        .ok_or("/proc status of the process has no VmRSS")?
+        .parse()?;
     Ok(kib * 1024.0 / 1e6)
 }
 
-/// The machine's load average, as the kernel tells it.
-pub fn load_average() -> Result<String, Failure> {
+/// The machine's load average, as the text of `/proc/loadavg`.
+pub fn load_average() -> Result<String, BoxError> {
     let text = fs::read_to_string("/proc/loadavg")?;
     Ok(text.trim().to_owned())
 }
