--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The operator's tool, run as the built binary.
+//! Tests of the command-line tool, run as the built binary.
 
 #[path = "cli/admin.rs"]
 mod admin;
@@ -12,7 +12,7 @@
 
 const TOOL: &str = env!("CARGO_BIN_EXE_mangofront");
 
-fn tool(arguments: &[&str]) -> Output {
+fn run_tool(arguments: &[&str]) -> Output {
     Command::new(TOOL)
         .current_dir(env!("CARGO_MANIFEST_DIR"))
         .args(arguments)
@@ -21,20 +21,20 @@
 }
 
 fn stdout(output: &Output) -> String {
-    String::from_utf8(output.stdout.clone()).expect("text")
+    String::from_utf8(output.stdout.clone()).expect("the output is UTF-8")
 }
 
-/// Exit code and both outputs, as a person sees them.
-fn seen(output: &Output) -> String {
+/// Exit code, standard output and standard error as text.
+fn transcript(output: &Output) -> String {
     let code = output.status.code().expect("an exit code");
-    let stderr = String::from_utf8(output.stderr.clone()).expect("text");
+    let stderr = String::from_utf8(output.stderr.clone()).expect("the output is UTF-8");
     format!(
         "exit {code}\n--- stdout\n{}--- stderr\n{stderr}",
         stdout(output)
     )
 }
 
-/// A file that is gone with this value.
+/// A file that is removed when this value is dropped.
 struct TemporaryFile(PathBuf);
 
 impl TemporaryFile {
@@ -57,31 +57,31 @@
 }
 
 #[test]
-fn good_documents_pass() {
+fn valid_documents_pass() {
     for (file, kind) in [
         ("examples/mangofrontd.jsonc", "settings"),
         ("examples/configuration.jsonc", "configuration"),
     ] {
-        let guessed = tool(&["check", file]);
-        assert_eq!(guessed.status.code(), Some(0), "{}", seen(&guessed));
-        assert!(stdout(&guessed).contains(&format!("good {kind}")));
-        assert_eq!(tool(&["check", file, "--kind", kind]), guessed);
+        let detected = run_tool(&["check", file]);
+        assert_eq!(detected.status.code(), Some(0), "{}", transcript(&detected));
+        assert!(stdout(&detected).contains(&format!("good {kind}")));
+        assert_eq!(run_tool(&["check", file, "--kind", kind]), detected);
     }
 }
 
 #[test]
-fn a_fault_is_told_with_line_and_column() {
+fn fault_is_reported_with_line_and_column() {
     let file = TemporaryFile::new(
         "fault.jsonc",
         "{\n  \"classes\": {\"a\": {\"weight\": 2}}\n}\n",
     );
-    let output = tool(&["check", file.name()]);
-    insta::assert_snapshot!(seen(&output).replace(file.name(), "fault.jsonc"));
+    let output = run_tool(&["check", file.name()]);
+    insta::assert_snapshot!(transcript(&output).replace(file.name(), "fault.jsonc"));
 }
 
 #[test]
-fn the_kind_can_be_given() {
-    let output = tool(&[
+fn document_kind_can_be_given() {
+    let output = run_tool(&[
         "check",
         "examples/configuration.jsonc",
         "--kind",
@@ -91,21 +91,21 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_another_exit_code() {
+fn unreadable_documents_have_their_own_exit_code() {
     assert_eq!(
-        tool(&["check", "/nonexistent.jsonc"]).status.code(),
+        run_tool(&["check", "/nonexistent.jsonc"]).status.code(),
         Some(2)
     );
     let file = TemporaryFile::new("binary.jsonc", "");
     std::fs::write(&file.0, [0xff, 0xfe]).expect("file is written");
-    assert_eq!(tool(&["check", file.name()]).status.code(), Some(2));
+    assert_eq!(run_tool(&["check", file.name()]).status.code(), Some(2));
 }
 
 #[test]
 fn help_and_version() {
-    insta::assert_snapshot!(stdout(&tool(&["--help"])));
-    assert_eq!(tool(&["help"]), tool(&["--help"]));
-    assert_eq!(stdout(&tool(&["--version"])), "mangofront 0.1.0\n");
+    insta::assert_snapshot!(stdout(&run_tool(&["--help"])));
+    assert_eq!(run_tool(&["help"]), run_tool(&["--help"]));
+    assert_eq!(stdout(&run_tool(&["--version"])), "mangofront 0.1.0\n");
 }
 
 #[test]
@@ -144,22 +144,22 @@
             "model.name=a",
         ],
     ];
-    let told: Vec<_> = wrong
+    let transcripts: Vec<_> = wrong
         .iter()
         .map(|arguments| {
             format!(
                 "$ mangofront {}\n{}",
                 arguments.join(" "),
-                seen(&tool(arguments))
+                transcript(&run_tool(arguments))
             )
         })
         .collect();
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(transcripts.join("\n"));
 }
 
 #[test]
-fn nobody_at_the_address() {
-    insta::assert_snapshot!(seen(&tool(&["status", "--admin", "127.0.0.1:1"])));
+fn no_daemon_at_the_address() {
+    insta::assert_snapshot!(transcript(&run_tool(&["status", "--admin", "127.0.0.1:1"])));
 }
 
 const STATUS: &str = r#"{
@@ -185,20 +185,24 @@
 }"#;
 
 #[test]
-fn status_is_laid_out_or_passed_on() {
+fn status_is_formatted_or_printed_as_json() {
     let admin = FakeAdmin::start([(200, STATUS), (200, STATUS)]);
-    insta::assert_snapshot!(seen(&tool(&["status", "--admin", admin.address()])));
-    let json = tool(&["status", "--admin", admin.address(), "--json"]);
-    let read: serde_json::Value = serde_json::from_slice(&json.stdout).expect("JSON");
+    insta::assert_snapshot!(transcript(&run_tool(&[
+        "status",
+        "--admin",
+        admin.address()
+    ])));
+    let json = run_tool(&["status", "--admin", admin.address(), "--json"]);
+    let printed: serde_json::Value = serde_json::from_slice(&json.stdout).expect("JSON");
     assert_eq!(
-        read,
+        printed,
         serde_json::from_str::<serde_json::Value>(STATUS).expect("JSON")
     );
     assert_eq!(admin.calls(), ["GET /status ", "GET /status "]);
 }
 
 #[test]
-fn a_refusal_tells_the_daemons_message() {
+fn refusal_shows_the_daemons_message() {
     let body = r#"{"error": {"message": "no model kuhar-llm", "code": "unknown_model",
         "outcome": "not_run", "step": "explain"}}"#;
     let admin = FakeAdmin::start([(404, body), (200, "not JSON")]);
@@ -211,15 +215,15 @@
         "--tokens",
         "900",
     ];
-    let refused = seen(&tool(&arguments)).replace(admin.address(), "ADDR");
-    let unreadable = seen(&tool(&arguments)).replace(admin.address(), "ADDR");
+    let refused = transcript(&run_tool(&arguments)).replace(admin.address(), "ADDR");
+    let unreadable = transcript(&run_tool(&arguments)).replace(admin.address(), "ADDR");
     insta::assert_snapshot!(format!("{refused}\n{unreadable}"));
 }
 
 #[test]
-fn explain_sends_the_question() {
+fn explain_sends_its_arguments() {
     let admin = FakeAdmin::start([(200, r#"{"placed_on": "engine-a4"}"#)]);
-    let output = tool(&[
+    let output = run_tool(&[
         "explain",
         "--admin",
         admin.address(),
@@ -245,17 +249,17 @@
 ]}"#;
 
 #[test]
-fn audit_tells_entries_gaps_and_unknown_kinds() {
+fn audit_shows_entries_gaps_and_unknown_kinds() {
     let admin = FakeAdmin::start([(200, AUDIT), (200, AUDIT)]);
-    let told = seen(&tool(&[
+    let text = transcript(&run_tool(&[
         "audit",
         "--admin",
         admin.address(),
         "--after",
         "3",
     ]));
-    let json = seen(&tool(&["audit", "--admin", admin.address(), "--json"]));
-    insta::assert_snapshot!(format!("{told}\n{json}"));
+    let json = transcript(&run_tool(&["audit", "--admin", admin.address(), "--json"]));
+    insta::assert_snapshot!(format!("{text}\n{json}"));
     assert_eq!(
         admin.calls(),
         ["GET /audit?after=3 ", "GET /audit?after=0 "]
@@ -267,12 +271,16 @@
     let later = r#"{"next_sequence": 2, "oldest_sequence": 1, "entries": [
         {"sequence": 1, "unix_time_ms": 0, "kind": "drain_started", "in_flight_requests": 1}]}"#;
     let admin = FakeAdmin::start([(200, AUDIT), (200, later), (200, later), (500, "")]);
-    let output = tool(&["audit", "--admin", admin.address(), "--follow"]);
-    assert_eq!(output.status.code(), Some(1), "the 500 ends it");
+    let output = run_tool(&["audit", "--admin", admin.address(), "--follow"]);
+    assert_eq!(
+        output.status.code(),
+        Some(1),
+        "the status 500 ends the tool"
+    );
     assert!(
         stdout(&output).ends_with("#1 drain started with 1 requests\n"),
         "{}",
-        seen(&output)
+        transcript(&output)
     );
     let calls = [
         "GET /audit?after=0 ",
@@ -282,7 +290,7 @@
     assert_eq!(admin.calls()[..3], calls);
 }
 
-/// A stand-in process; killed with this value unless it has ended.
+/// A stand-in process, which is killed when this value is dropped.
 struct Standin {
     child: Child,
     address: String,
@@ -301,21 +309,24 @@
         let mut line = String::new();
         BufReader::new(child.stdout.take().expect("piped"))
             .read_line(&mut line)
-            .expect("a line");
+            .expect("the stand-in prints a line");
         let address = line.trim_end().strip_prefix("listening on ");
         let address = address.expect("the address").to_owned();
         Self { child, address }
     }
 
     fn get(&self, path: &str) -> String {
-        let mut stream = TcpStream::connect(&self.address).expect("connects");
+        let mut stream =
+            TcpStream::connect(&self.address).expect("the stand-in accepts a connection");
         write!(
             stream,
             "GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n"
         )
-        .expect("sent");
+        .expect("the request is sent");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer");
+        stream
+            .read_to_string(&mut answer)
+            .expect("an answer is received");
         answer
     }
 
@@ -331,7 +342,10 @@
             .args([signal, &pid])
             .status()
             .expect("kill runs");
-        self.child.wait().expect("ends").code()
+        self.child
+            .wait()
+            .expect("the stand-in can be waited for")
+            .code()
     }
 }
 
@@ -410,7 +424,7 @@
 }
 
 #[test]
-fn trace_tells_a_requests_story_in_order() {
+fn trace_shows_the_events_of_a_request_in_order() {
     let logs = TemporaryFile::new(
         "trace.log",
         "front-b {\"time\":\"2026-03-03T01:01:09.500Z\",\"level\":\"INFO\",\"message\":\"gateway: request ended\",\"request\":\"r-1\",\"outcome\":\"answered\",\"upstream\":\"i-2\",\"took_ms\":2000}\n\
@@ -427,25 +441,31 @@
          8.200 front-a {\"time\":\"2026-03-03T01:01:08.200Z\",\"level\":\"INFO\",\"message\":\"daemon: started\"}\n\
          9.500 front-b {\"time\":\"2026-03-03T01:01:09.500Z\",\"level\":\"INFO\",\"message\":\"daemon: started\"}\n",
     );
-    let found = tool(&["trace", "r-1", logs.name()]);
-    let lost = tool(&["trace", "r-3", killed.name()]);
-    let missing = tool(&["trace", "r-2", logs.name()]);
-    let unreadable = tool(&["trace", "r-1", "/nonexistent/log"]);
-    let none = tool(&["trace"]);
+    let found = run_tool(&["trace", "r-1", logs.name()]);
+    let lost = run_tool(&["trace", "r-3", killed.name()]);
+    let missing = run_tool(&["trace", "r-2", logs.name()]);
+    let unreadable = run_tool(&["trace", "r-1", "/nonexistent/log"]);
+    let none = run_tool(&["trace"]);
     insta::assert_snapshot!(
         [
-            seen(&found),
-            seen(&lost),
-            seen(&missing),
-            seen(&unreadable),
-            seen(&none)
+            transcript(&found),
+            transcript(&lost),
+            transcript(&missing),
+            transcript(&unreadable),
+            transcript(&none)
         ]
         .join("\n===\n")
     );
 }
 
-/// A line of a request that ended, as a daemon writes it.
-fn ended(second: u32, fingerprint: &str, tokens: u64, disposition: &str, first_ms: u64) -> String {
+/// A log line of a request that ended, as a daemon writes it.
+fn request_ended_line(
+    second: u32,
+    fingerprint: &str,
+    tokens: u64,
+    disposition: &str,
+    first_ms: u64,
+) -> String {
     format!(
         "front-a {{\"time\":\"2026-03-03T01:01:{second:02}.000Z\",\"level\":\"INFO\",\
          \"message\":\"gateway: request ended\",\"request\":\"r\",\"route\":\"review\",\
@@ -456,24 +476,26 @@
 }
 
 #[test]
-fn losses_counts_what_callers_got_of_each_size() {
+fn losses_counts_outcomes_by_prompt_length() {
     let mut lines: String = (1..=8)
-        .map(|size| ended(10, &format!("f{size}"), size * 1_000, "served_in_time", 300))
+        .map(|size| {
+            request_ended_line(10, &format!("f{size}"), size * 1_000, "served_in_time", 300)
+        })
         .collect();
-    // Refused, and served late for its caller when it came back.
-    lines += &ended(11, "f9", 9_000, "refused_after_wait", 0);
-    lines += &ended(16, "f9", 9_000, "served_in_time", 500);
-    // Refused twice.
-    lines += &ended(12, "f10", 10_000, "refused_at_arrival", 0);
-    lines += &ended(17, "f10", 10_000, "refused_at_arrival", 0);
-    // The same was asked for long before, and served.
-    lines += &ended(13, "f1", 1_000, "left", 0);
+    // Refused, and served on a retry five seconds later, when the target of 4 s had passed.
+    lines += &request_ended_line(11, "f9", 9_000, "refused_after_wait", 0);
+    lines += &request_ended_line(16, "f9", 9_000, "served_in_time", 500);
+    // Refused, also when retried.
+    lines += &request_ended_line(12, "f10", 10_000, "refused_at_arrival", 0);
+    lines += &request_ended_line(17, "f10", 10_000, "refused_at_arrival", 0);
+    // The caller disconnected, but an equal request had been served before.
+    lines += &request_ended_line(13, "f1", 1_000, "left", 0);
     lines += "a line of something else\n";
     let logs = TemporaryFile::new("losses.log", &lines);
     let empty = TemporaryFile::new("losses-empty.log", "nothing\n");
-    let counted = tool(&["losses", logs.name()]);
-    let none = tool(&["losses", empty.name()]);
-    insta::assert_snapshot!([seen(&counted), seen(&none)].join("\n===\n"));
+    let counted = run_tool(&["losses", logs.name()]);
+    let none = run_tool(&["losses", empty.name()]);
+    insta::assert_snapshot!([transcript(&counted), transcript(&none)].join("\n===\n"));
 }
 
 #[test]
@@ -482,9 +504,9 @@
     let none = r#"{"requests": []}"#;
     let lifted = r#"{"lifted": "5392cc"}"#;
     let admin = FakeAdmin::start([(200, requests), (200, none), (200, lifted)]);
-    let listed = tool(&["quarantine", "--admin", admin.address()]);
-    let empty = tool(&["quarantine", "--admin", admin.address()]);
-    let lift = tool(&["quarantine", "--admin", admin.address(), "--lift", "5392cc"]);
-    let answers = [seen(&listed), seen(&empty), seen(&lift)].join("\n===\n");
+    let listed = run_tool(&["quarantine", "--admin", admin.address()]);
+    let empty = run_tool(&["quarantine", "--admin", admin.address()]);
+    let lift = run_tool(&["quarantine", "--admin", admin.address(), "--lift", "5392cc"]);
+    let answers = [transcript(&listed), transcript(&empty), transcript(&lift)].join("\n===\n");
     insta::assert_snapshot!(format!("{answers}\n{:#?}", admin.calls()));
 }
--- a/tests/cli/admin.rs
+++ b/tests/cli/admin.rs
@@ -1,10 +1,10 @@
-//! A daemon's admin listener that gives prepared answers, one a call.
+//! A fake admin listener of a daemon that gives prepared answers, one for each call.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// Lives until its answers are used up.
+/// Listens on a free port of loopback until all prepared answers are given.
 pub struct FakeAdmin {
     address: String,
     calls: Arc<Mutex<Vec<String>>>,
@@ -15,15 +15,15 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("its address").to_string();
         let calls = Arc::new(Mutex::new(Vec::new()));
-        let seen = Arc::clone(&calls);
+        let recorded = Arc::clone(&calls);
         std::thread::spawn(move || {
             for (status, body) in answers {
                 let (stream, _) = listener.accept().expect("a call");
-                // Recorded before the answer, so that a test that got its
+                // Recorded before the answer is sent, so that a test that has received the
                 // answer finds the call.
-                let call = read_call(&stream);
-                seen.lock().expect("no panic before").push(call);
-                answer(stream, status, body);
+                let call = read_request(&stream);
+                recorded.lock().expect("no panic before").push(call);
+                send_answer(stream, status, body);
             }
         });
         Self { address, calls }
@@ -33,16 +33,16 @@
         &self.address
     }
 
-    /// Method, target and body of each call so far.
+    /// Method, request target and body of each call so far.
     pub fn calls(&self) -> Vec<String> {
         self.calls.lock().expect("no panic before").clone()
     }
 }
 
-fn read_call(stream: &TcpStream) -> String {
+fn read_request(stream: &TcpStream) -> String {
     let mut reader = BufReader::new(stream);
-    let mut start = String::new();
-    reader.read_line(&mut start).expect("a request line");
+    let mut request_line = String::new();
+    reader.read_line(&mut request_line).expect("a request line");
     let mut body_bytes = 0;
     loop {
         let mut header = String::new();
@@ -57,11 +57,14 @@
     }
     let mut body = vec![0; body_bytes];
     reader.read_exact(&mut body).expect("a body");
-    let target = start.trim_end().trim_end_matches(" HTTP/1.1");
-    format!("{target} {}", String::from_utf8(body).expect("text"))
+    let target = request_line.trim_end().trim_end_matches(" HTTP/1.1");
+    format!(
+        "{target} {}",
+        String::from_utf8(body).expect("the body is UTF-8")
+    )
 }
 
-fn answer(mut stream: TcpStream, status: u16, body: &str) {
+fn send_answer(mut stream: TcpStream, status: u16, body: &str) {
     let length = body.len();
     let head =
         format!("HTTP/1.1 {status} x\r\ncontent-length: {length}\r\nconnection: close\r\n\r\n");
--- a/tests/processes/caller.rs
+++ b/tests/processes/client.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks HTTP and writes its session down.
+//! HTTP client of the tests, whose answers can be recorded for snapshots.
 
 use std::cell::RefCell;
 use std::error::Error;
@@ -9,11 +9,11 @@
 use http::Method;
 use serde_json::Value;
 
-/// Longest time for one exchange.
-const EXCHANGE_LIMIT: Duration = Duration::from_secs(30);
+/// Time limit for one exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Headers of an answer that are part of a session's record.
-const RECORDED: [&str; 5] = [
+/// Headers that [`Answer::record`] includes.
+const RECORDED_HEADERS: [&str; 5] = [
     "connection",
     "content-type",
     "retry-after",
@@ -30,57 +30,57 @@
     static CLIENT: RefCell<Option<cyper::Client>> = const { RefCell::new(None) };
 }
 
-/// An answer, whole.
+/// An answer, as far as it was received.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// Status; 0 when the exchange broke.
+    /// Status code; 0 if the exchange failed before the head of the answer.
     pub status: u16,
-    /// Recorded headers.
+    /// The headers of [`RECORDED_HEADERS`] that the answer has.
     pub headers: Vec<(String, String)>,
-    /// Body, as far as it came.
+    /// Body, as far as it was received.
     pub body: String,
-    /// Whether the body ended regularly.
-    pub whole: bool,
-    /// Whether a connection was made at all.
+    /// Whether the body was received to its end.
+    pub body_complete: bool,
+    /// Whether a connection was established.
     pub connected: bool,
-    /// What kept the answer from being whole, if anything did.
+    /// Why the answer is incomplete, unless the test itself disconnected.
     #[expect(dead_code, reason = "read in the message of a test that fails")]
     pub failure: Option<ExchangeFailure>,
-    /// Time from the request until the answer was whole or the exchange failed.
+    /// Time from the request until the answer was complete or the exchange failed.
     #[expect(dead_code, reason = "read in the message of a test that fails")]
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
 /// How an exchange failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExchangeFailure {
-    /// The request could not be made.
+    /// The request could not be built.
     Request(String),
-    /// No connection was made.
+    /// No connection was established.
     Connect(String),
-    /// The connection ended before the answer's head.
+    /// The connection ended before the head of the answer.
     Head(String),
-    /// The connection ended within the answer's body.
+    /// The connection ended within the body of the answer.
     Body(String),
-    /// Nothing had ended after [`EXCHANGE_LIMIT`].
-    Unanswered,
+    /// The exchange took longer than [`EXCHANGE_TIMEOUT`].
+    TimedOut,
 }
 
 impl Answer {
-    /// An exchange that came to no head of an answer.
+    /// Result of an exchange that failed before the head of the answer.
     fn failed(failure: ExchangeFailure) -> Self {
         Self {
             status: 0,
             headers: Vec::new(),
             body: String::new(),
-            whole: false,
+            body_complete: false,
             connected: !matches!(failure, ExchangeFailure::Connect(_)),
             failure: Some(failure),
-            took: Duration::ZERO,
+            elapsed: Duration::ZERO,
         }
     }
 
-    /// Outcome that an error tells, in the body or as the last event.
+    /// The outcome in an error, which is the body or the last event of the answer.
     pub fn outcome(&self) -> Option<String> {
         let last = self.body.trim_end().rsplit("\n\n").next()?;
         let data = last.strip_prefix("data: ").unwrap_or(last);
@@ -88,30 +88,35 @@
         error["error"]["outcome"].as_str().map(str::to_owned)
     }
 
-    /// Whether the answer is whole and without an error.
+    /// Returns whether the answer was received to its end and without an error.
     pub fn is_complete(&self) -> bool {
         let streamed = self.body.starts_with("data: ");
         let ended = !streamed || self.body.ends_with("data: [DONE]\n\n");
-        self.status == 200 && self.whole && ended
+        self.status == 200 && self.body_complete && ended
     }
 
-    /// Body as JSON, null when it is none.
+    /// The body as JSON; null if it isn't JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
 
-    /// The record of this answer, without what changes from run to run.
+    /// Status, headers and body as text for a snapshot, without values that change from run to
+    /// run.
     pub fn record(&self) -> String {
         use std::fmt::Write;
         let mut record = format!("{}\n", self.status);
         for (name, value) in &self.headers {
             writeln!(record, "{name}: {value}").expect("a string can be written");
         }
-        let end = if self.whole { "" } else { "\n<broken off>" };
+        let end = if self.body_complete {
+            ""
+        } else {
+            "\n<broken off>"
+        };
         format!("{record}\n{}{end}", normalise(&self.body))
     }
 
-    /// Text of the answer's tokens, of a streamed or a plain answer.
+    /// Text of the generated tokens, of a streamed or a plain answer.
     pub fn text(&self) -> String {
         let pieces = if self.body.starts_with("data: ") {
             let events = self
@@ -140,7 +145,7 @@
     places.into_iter().find_map(Value::as_str)
 }
 
-/// Puts a fixed text in the place of ids, times and addresses.
+/// Replaces IDs and creation times with a fixed text.
 pub fn normalise(text: &str) -> String {
     let mut normal = text.to_owned();
     for (start, end) in [
@@ -165,15 +170,15 @@
     replaced
 }
 
-/// One caller of one address.
+/// Sends requests with fixed headers to one address.
 #[derive(Debug, Clone)]
-pub struct Caller {
+pub struct HttpClient {
     address: String,
     headers: Vec<(&'static str, String)>,
 }
 
-impl Caller {
-    /// Caller of `address` as organisation tuul.
+impl HttpClient {
+    /// Client for `address`, as the organisation `tuul`.
     pub fn new(address: String) -> Self {
         let organisation = ("mangofront-organisation", "tuul".to_owned());
         Self {
@@ -182,19 +187,19 @@
         }
     }
 
-    /// The same caller with another header.
-    pub fn with(&self, name: &'static str, value: &str) -> Self {
-        let mut caller = self.clone();
-        caller.headers.retain(|(known, _)| *known != name);
-        caller.headers.push((name, value.to_owned()));
-        caller
+    /// The same client with the header `name` set to `value`.
+    pub fn with_header(&self, name: &'static str, value: &str) -> Self {
+        let mut client = self.clone();
+        client.headers.retain(|(existing, _)| *existing != name);
+        client.headers.push((name, value.to_owned()));
+        client
     }
 
-    /// The same caller without a header.
-    pub fn without(&self, name: &'static str) -> Self {
-        let mut caller = self.clone();
-        caller.headers.retain(|(known, _)| *known != name);
-        caller
+    /// The same client without the header `name`.
+    pub fn without_header(&self, name: &'static str) -> Self {
+        let mut client = self.clone();
+        client.headers.retain(|(existing, _)| *existing != name);
+        client
     }
 
     pub fn get(&self, path: &str) -> Answer {
@@ -209,14 +214,14 @@
         self.send(Method::PUT, path, Bytes::from(body.to_string()))
     }
 
-    /// Sends a request and reads its answer whole.
+    /// Sends a request and reads its answer to the end.
     pub fn send(&self, method: Method, path: &str, body: Bytes) -> Answer {
         let exchange = self.exchange(method, path, body, usize::MAX);
         RUNTIME.with(|runtime| runtime.block_on(exchange))
     }
 
-    /// Sends a request, reads `events` events of its answer and goes away.
-    pub fn leave_after(&self, events: usize, path: &str, body: &Value) -> Answer {
+    /// Sends a request and disconnects after `events` events of its answer.
+    pub fn disconnect_after(&self, events: usize, path: &str, body: &Value) -> Answer {
         let body = Bytes::from(body.to_string());
         let exchange = self.exchange(Method::POST, path, body, events);
         RUNTIME.with(|runtime| runtime.block_on(exchange))
@@ -225,15 +230,15 @@
     async fn exchange(&self, method: Method, path: &str, body: Bytes, events: usize) -> Answer {
         let started = Instant::now();
         let limited = compio::time::timeout(
-            EXCHANGE_LIMIT,
+            EXCHANGE_TIMEOUT,
             self.try_exchange(method, path, body, events),
         );
         let answer = match limited.await {
             Ok(exchanged) => exchanged.unwrap_or_else(Answer::failed),
-            Err(_elapsed) => Answer::failed(ExchangeFailure::Unanswered),
+            Err(_elapsed) => Answer::failed(ExchangeFailure::TimedOut),
         };
         Answer {
-            took: started.elapsed(),
+            elapsed: started.elapsed(),
             ..answer
         }
     }
@@ -245,17 +250,19 @@
         body: Bytes,
         events: usize,
     ) -> Result<Answer, ExchangeFailure> {
-        // A client of its own for each exchange: no pooled connection of one
-        // exchange may hide what happens to another.
-        let client = mangofront_http::client().map_err(unsendable)?;
+        // Each exchange has its own client, since a pooled connection of one exchange could hide
+        // a failure of another.
+        let client = mangofront_http::client().map_err(request_error)?;
         let url = format!("http://{}{path}", self.address);
-        let mut request = client.request(method, url).map_err(unsendable)?;
+        let mut request = client.request(method, url).map_err(request_error)?;
         for (name, value) in &self.headers {
-            request = request.header(*name, value.as_str()).map_err(unsendable)?;
+            request = request
+                .header(*name, value.as_str())
+                .map_err(request_error)?;
         }
-        let response = request.body(body).send().await.map_err(no_head)?;
+        let response = request.body(body).send().await.map_err(head_error)?;
         let status = response.status().as_u16();
-        let headers = RECORDED.iter().filter_map(|name| {
+        let headers = RECORDED_HEADERS.iter().filter_map(|name| {
             let value = response.headers().get(*name)?.to_str().ok()?;
             Some(((*name).to_owned(), value.to_owned()))
         });
@@ -263,25 +270,25 @@
         let mut chunks = response.bytes_stream();
         let mut content = Vec::new();
         let mut seen_events = 0;
-        let mut whole = true;
+        let mut body_complete = true;
         let mut failure = None;
         while let Some(chunk) = chunks.next().await {
             match chunk {
                 Ok(chunk) => {
-                    // Only what is new: an answer of thousands of events is read in a
-                    // moment, but looked through from its start each time in half a minute.
-                    let unseen = content.len().saturating_sub(EVENT_END.len() - 1);
+                    // Scans only the new bytes. Scanning an answer of thousands of events from
+                    // its start for each chunk took half a minute.
+                    let unscanned = content.len().saturating_sub(EVENT_END.len() - 1);
                     content.extend_from_slice(&chunk);
-                    seen_events += event_ends(&content[unseen..]);
+                    seen_events += count_event_ends(&content[unscanned..]);
                 }
                 Err(error) => {
-                    whole = false;
-                    failure = Some(ExchangeFailure::Body(chain(&error)));
+                    body_complete = false;
+                    failure = Some(ExchangeFailure::Body(error_chain(&error)));
                     break;
                 }
             }
             if seen_events >= events {
-                whole = false;
+                body_complete = false;
                 break;
             }
         }
@@ -290,35 +297,35 @@
             status,
             headers,
             body,
-            whole,
+            body_complete,
             connected: true,
             failure,
-            took: Duration::ZERO,
+            elapsed: Duration::ZERO,
         })
     }
 }
 
-/// Ends of events in a part of an answer.
-fn event_ends(part: &[u8]) -> usize {
+/// Number of events that end in a part of an answer.
+fn count_event_ends(part: &[u8]) -> usize {
     let pairs = part.windows(EVENT_END.len());
     pairs.filter(|pair| *pair == EVENT_END).count()
 }
 
-fn unsendable(error: impl Error) -> ExchangeFailure {
-    ExchangeFailure::Request(chain(&error))
+fn request_error(error: impl Error) -> ExchangeFailure {
+    ExchangeFailure::Request(error_chain(&error))
 }
 
-fn no_head(error: cyper::Error) -> ExchangeFailure {
+fn head_error(error: cyper::Error) -> ExchangeFailure {
     match &error {
         cyper::Error::HyperClient(cause) if cause.is_connect() => {
-            ExchangeFailure::Connect(chain(&error))
+            ExchangeFailure::Connect(error_chain(&error))
         }
-        _ => ExchangeFailure::Head(chain(&error)),
+        _ => ExchangeFailure::Head(error_chain(&error)),
     }
 }
 
-/// An error and all its causes.
-fn chain(error: &dyn Error) -> String {
+/// The messages of an error and all its sources.
+fn error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
     while let Some(error) = cause {
--- a/tests/processes/control.rs
+++ b/tests/processes/control.rs
@@ -1,36 +1,36 @@
-//! What a daemon tells of its control traffic.
+//! Control traffic as reported by the status and the metrics of a daemon.
 
-use crate::fleet::{Fleet, Plan, wait_until};
+use crate::fleet::{Fleet, FleetSpec, wait_until};
 
 #[test]
-fn status_tells_the_control_traffic() {
-    let fleet = Fleet::start(Plan {
+fn status_reports_control_traffic() {
+    let fleet = Fleet::start(FleetSpec {
         daemons: 2,
-        ..Plan::default()
+        ..FleetSpec::default()
     });
     let daemons = fleet.daemons.len();
-    wait_until("links and reports are counted", || {
-        let status = fleet.operator(0).get("/status").json();
-        let grew = |part: &str| {
+    wait_until("traffic to daemons and engines is counted", || {
+        let status = fleet.admin_client(0).get("/status").json();
+        let has_traffic = |part: &str| {
             let traffic = &status["peers"][part];
             traffic["bytes_sent"].as_u64() > Some(0) && traffic["bytes_received"].as_u64() > Some(0)
         };
-        let reports = &status["engine_calls"];
+        let engine_calls = &status["engine_calls"];
         status["peers"]["alive"] == daemons
-            && grew("gossip")
-            && reports["messages"].as_u64() > Some(0)
-            && reports["bytes_received"].as_u64() > reports["bytes_sent"].as_u64()
+            && has_traffic("gossip")
+            && engine_calls["messages"].as_u64() > Some(0)
+            && engine_calls["bytes_received"].as_u64() > engine_calls["bytes_sent"].as_u64()
     });
 }
 
 #[test]
-fn metrics_tell_the_control_traffic_and_the_members() {
-    let fleet = Fleet::start(Plan {
+fn metrics_report_control_traffic_and_members() {
+    let fleet = Fleet::start(FleetSpec {
         daemons: 2,
-        ..Plan::default()
+        ..FleetSpec::default()
     });
     wait_until("metrics are counted", || {
-        let text = fleet.operator(0).get("/metrics").body;
+        let text = fleet.admin_client(0).get("/metrics").body;
         let value = |name: &str| {
             let line = text.lines().find(|line| line.starts_with(name));
             let value = line.and_then(|line| line.rsplit(' ').next());
--- a/tests/processes/frozen.rs
+++ b/tests/processes/frozen.rs
@@ -1,4 +1,4 @@
-//! Every admitted request finishes or fails within its class's time.
+//! Every admitted request finishes or fails within the time limit of its class.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -7,43 +7,43 @@
 
 use serde_json::json;
 
-use crate::caller::Answer;
-use crate::fleet::{Fleet, Plan, wait_until};
-use crate::requests::{COMPLETIONS, answer_text, question};
+use crate::client::Answer;
+use crate::fleet::{Fleet, FleetSpec, wait_until};
+use crate::requests::{COMPLETIONS, answer_text, completion_body};
 
-/// Lateness that a busy machine may add to a class's time.
-const SLACK: Duration = Duration::from_secs(8);
+/// Delay that a busy machine may add to the time limit of a class.
+const SCHEDULING_SLACK: Duration = Duration::from_secs(8);
 
-/// A fleet whose class has `limit` in all, one second of it for the first token.
+/// A fleet whose class has a time limit of `limit`, one second of it for the first token.
 fn fleet_with_limit(limit: Duration, time_scale: f64) -> Fleet {
-    let mut plan = Plan::default();
+    let mut spec = FleetSpec::default();
     let allowed_delay_ms = u64::try_from(limit.as_millis()).expect("it fits") - 1000;
-    plan.configuration["classes"]["diagnosis"] =
+    spec.configuration["classes"]["diagnosis"] =
         json!({"time_to_first_token_ms": 1000, "allowed_delay_ms": allowed_delay_ms});
-    for engine in &mut plan.engines {
+    for engine in &mut spec.engines {
         engine["time_scale"] = json!(time_scale);
     }
-    Fleet::start(plan)
+    Fleet::start(spec)
 }
 
-/// Asks `count` questions at once; the answers and the longest time.
-fn ask_at_once(fleet: &Fleet, count: usize, max_tokens: u32) -> (Vec<Answer>, Duration) {
+/// Sends `count` requests at once. Returns the answers and the time until the last one ended.
+fn send_concurrently(fleet: &Fleet, count: usize, max_tokens: u32) -> (Vec<Answer>, Duration) {
     let started = Instant::now();
     let answers = thread::scope(|scope| {
-        let asking = (0..count).map(|nth| {
+        let requests = (0..count).map(|nth| {
             scope.spawn(move || {
-                let body = question(&nth.to_string(), max_tokens, nth % 2 == 0);
-                let answer = fleet.caller(0).post(COMPLETIONS, &body);
+                let body = completion_body(&nth.to_string(), max_tokens, nth % 2 == 0);
+                let answer = fleet.caller_client(0).post(COMPLETIONS, &body);
                 if answer.is_complete() {
                     assert_eq!(answer.text(), answer_text(&body));
                 }
                 answer
             })
         });
-        let asking: Vec<_> = asking.collect();
-        asking
+        let requests: Vec<_> = requests.collect();
+        requests
             .into_iter()
-            .map(|one| one.join().expect("an answer"))
+            .map(|request| request.join().expect("the request thread ends"))
             .collect()
     });
     (answers, started.elapsed())
@@ -57,9 +57,9 @@
             fleet.engines[0].signal("STOP");
         } else {
             let freeze = json!({"freeze_ms": 60_000});
-            fleet.engine(0).post("/control", &freeze);
+            fleet.engine_client(0).post("/control", &freeze);
         }
-        let (answers, _) = ask_at_once(&fleet, 8, 5);
+        let (answers, _) = send_concurrently(&fleet, 8, 5);
         for answer in &answers {
             assert!(answer.is_complete(), "signal {by_signal}: {answer:?}");
         }
@@ -68,21 +68,21 @@
 
 #[test]
 fn no_engine_has_reported_yet() {
-    let mut fleet = Fleet::start(Plan::default());
+    let mut fleet = Fleet::start(FleetSpec::default());
     for engine in &fleet.engines {
         engine.signal("STOP");
     }
     fleet.replace_daemon(0);
     fleet.wait_until_serving(0);
     thread::scope(|scope| {
-        let asking = scope.spawn(|| ask_at_once(&fleet, 1, 2000));
-        wait_until("the question is decided on", || {
-            asking.is_finished() || fleet.status(0)["daemon"]["requests_in_progress"] == 1
+        let requests = scope.spawn(|| send_concurrently(&fleet, 1, 2000));
+        wait_until("the request is in progress or has ended", || {
+            requests.is_finished() || fleet.status(0)["daemon"]["requests_in_progress"] == 1
         });
         for engine in &fleet.engines {
             engine.signal("CONT");
         }
-        let (answers, _) = asking.join().expect("answers");
+        let (answers, _) = requests.join().expect("the request threads end");
         assert!(answers.iter().all(Answer::is_complete), "{answers:?}");
     });
 }
@@ -91,13 +91,13 @@
 fn one_engine_frozen_in_mid_stream() {
     let fleet = fleet_with_limit(Duration::from_secs(25), 0.4);
     thread::scope(|scope| {
-        let asking = scope.spawn(|| ask_at_once(&fleet, 4, 150));
+        let requests = scope.spawn(|| send_concurrently(&fleet, 4, 150));
         wait_until("answers have begun", || {
             fleet.engine_counter(0, "tokens") > 5 || fleet.engine_counter(1, "tokens") > 5
         });
         let begun = usize::from(fleet.engine_counter(0, "tokens") == 0);
         fleet.engines[begun].signal("STOP");
-        let (answers, _) = asking.join().expect("answers");
+        let (answers, _) = requests.join().expect("the request threads end");
         for answer in &answers {
             assert!(answer.is_complete(), "{answer:?}");
         }
@@ -111,8 +111,8 @@
     for engine in &fleet.engines {
         engine.signal("STOP");
     }
-    let (answers, longest) = ask_at_once(&fleet, 6, 5);
-    assert!(longest < limit + SLACK, "{longest:?}");
+    let (answers, longest) = send_concurrently(&fleet, 6, 5);
+    assert!(longest < limit + SCHEDULING_SLACK, "{longest:?}");
     for answer in &answers {
         assert!(answer.outcome().is_some(), "{answer:?}");
     }
@@ -127,16 +127,16 @@
     let limit = Duration::from_secs(7);
     let fleet = fleet_with_limit(limit, 0.2);
     thread::scope(|scope| {
-        let asking = scope.spawn(|| ask_at_once(&fleet, 4, 600));
+        let requests = scope.spawn(|| send_concurrently(&fleet, 4, 600));
         wait_until("answers have begun", || {
-            fleet.engines_counter("tokens") > 10
+            fleet.engine_counter_sum("tokens") > 10
         });
         for engine in 0..2 {
             let slow = json!({"slow_factor": 1000.0});
-            fleet.engine(engine).post("/control", &slow);
+            fleet.engine_client(engine).post("/control", &slow);
         }
-        let (answers, longest) = asking.join().expect("answers");
-        assert!(longest < limit + SLACK, "{longest:?}");
+        let (answers, longest) = requests.join().expect("the request threads end");
+        assert!(longest < limit + SCHEDULING_SLACK, "{longest:?}");
         for answer in &answers {
             let outcome = answer.outcome();
             assert_eq!(outcome.as_deref(), Some("failed"), "{answer:?}");
@@ -147,7 +147,7 @@
 #[test]
 fn a_caller_that_stops_reading() {
     let fleet = fleet_with_limit(Duration::from_secs(10), 0.0005);
-    let body = question("unread", 80_000, true).to_string();
+    let body = completion_body("unread", 80_000, true).to_string();
     let length = body.len();
     let mut stream = TcpStream::connect(fleet.caller_address(0)).expect("the daemon listens");
     let request = format!(
@@ -156,14 +156,14 @@
     );
     stream.write_all(request.as_bytes()).expect("it is sent");
     wait_until("the answer has begun", || {
-        fleet.engines_counter("tokens") > 1000
+        fleet.engine_counter_sum("tokens") > 1000
     });
-    wait_until("the daemon gives the request up", || {
+    wait_until("the daemon aborts the request", || {
         fleet.status(0)["daemon"]["requests_in_progress"] == 0
     });
     fleet.wait_until_memory_is_free();
-    // The caller still holds its connection; its request has ended all the same.
-    let (answers, _) = ask_at_once(&fleet, 2, 5);
+    // The request has ended although the caller still has its connection open.
+    let (answers, _) = send_concurrently(&fleet, 2, 5);
     assert!(answers.iter().all(Answer::is_complete), "{answers:?}");
     drop(stream);
 }
--- a/tests/processes/link.rs
+++ b/tests/processes/link.rs
@@ -1,10 +1,11 @@
-//! A TCP forwarder in front of every process, by which availability zones are
-//! cut from each other.
+//! TCP forwarders in front of processes, which simulate network partitions
+//! between availability zones.
 //!
-//! All daemons are given the same addresses, as one instance list is relayed
-//! between them. So the forwarder finds out who connects: it looks up the
-//! daemon that owns the other end of the connection, once a switch is set and
-//! that matters, as the kernel's table of connections may be long.
+//! All daemons use the same addresses, since one instance list is relayed
+//! between them. A forwarder therefore has to find out which daemon opened a
+//! connection: it looks up the process that owns the client socket. It does so
+//! only once the mode of a zone pair requires it, as the kernel's table of
+//! connections may be long.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -24,40 +25,41 @@
 /// Number of availability zones of a fleet.
 pub const ZONES: usize = 3;
 
-/// Time between two looks at a switch.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which connections check the mode of their zone pair.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// What a forwarder does with traffic between two zones.
+/// How forwarders treat traffic between two zones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
-    /// Carries it.
-    Pass,
-    /// Breaks connections and refuses new ones.
-    Cut,
-    /// Keeps it back, and delivers it late once it passes again.
-    Hold,
+pub enum LinkMode {
+    /// Forwards it.
+    Forward,
+    /// Closes connections, and new ones as soon as they are accepted.
+    Disconnect,
+    /// Delays it until the mode is [`LinkMode::Forward`] again.
+    Stall,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
+    /// Mode of each pair of zones, by the zone that connects and the zone of the target.
     modes: [[AtomicU8; ZONES]; ZONES],
     /// Availability zone of each daemon by process id.
     daemons: Mutex<BTreeMap<u32, usize>>,
-    /// The kernel's connections, as they were read last.
+    /// The kernel's table of TCP connections, as last read.
     connections: Mutex<String>,
     stopped: AtomicBool,
 }
 
-/// Forwarders of one fleet, on a thread of their own.
+/// Forwarders of one fleet, which run on their own thread.
 #[derive(Debug)]
 pub struct Links {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// One forwarder: where it listens, whom it stands before, and the latter's zone.
+/// Listen address of a forwarder, address of its target, and the target's zone.
 #[derive(Debug, Clone, Copy)]
 pub struct Route {
     pub listen: SocketAddr,
@@ -79,7 +81,7 @@
                     compio::runtime::spawn(serve(listener, route, running)).detach();
                 }
                 while !running.stopped.load(Ordering::Relaxed) {
-                    compio::time::sleep(LOOK).await;
+                    compio::time::sleep(POLL_INTERVAL).await;
                 }
             });
         });
@@ -89,27 +91,27 @@
         }
     }
 
-    /// Tells in which zone a daemon runs.
-    pub fn know(&self, process: u32, zone: usize) {
+    /// Records the zone in which a daemon runs.
+    pub fn register_daemon(&self, process: u32, zone: usize) {
         let mut daemons = self.shared.daemons.lock().expect("no holder panics");
         daemons.insert(process, zone);
     }
 
-    /// Sets what happens between two zones, whoever connects.
-    pub fn set(&self, one: usize, other: usize, mode: Mode) {
-        self.set_one_way(one, other, mode);
-        self.set_one_way(other, one, mode);
+    /// Sets the mode between two zones, in both directions of connecting.
+    pub fn set_mode(&self, one: usize, other: usize, mode: LinkMode) {
+        self.set_mode_one_way(one, other, mode);
+        self.set_mode_one_way(other, one, mode);
     }
 
-    /// Sets what happens on connections that one zone opens to another.
-    pub fn set_one_way(&self, from: usize, to: usize, mode: Mode) {
+    /// Sets the mode of connections that one zone opens to another.
+    pub fn set_mode_one_way(&self, from: usize, to: usize, mode: LinkMode) {
         self.shared.modes[from][to].store(mode as u8, Ordering::Relaxed);
     }
 
-    /// Sets what happens between one zone and all others.
-    pub fn isolate(&self, zone: usize, mode: Mode) {
+    /// Sets the mode between one zone and all others.
+    pub fn isolate(&self, zone: usize, mode: LinkMode) {
         for other in (0..ZONES).filter(|other| *other != zone) {
-            self.set(zone, other, mode);
+            self.set_mode(zone, other, mode);
         }
     }
 }
@@ -123,81 +125,91 @@
     }
 }
 
-/// A listener that can be awaited.
+/// Binds a non-blocking listener.
 fn listen(address: SocketAddr) -> std::net::TcpListener {
     let listener = std::net::TcpListener::bind(address).expect("a forwarder listens");
     let set = listener.set_nonblocking(true);
-    set.expect("a listener can be told not to block");
+    set.expect("the listener becomes non-blocking");
     listener
 }
 
-/// The switch that one connection obeys.
+/// Reads the mode that applies to one connection.
 #[derive(Debug)]
-struct Gate {
+struct ConnectionMode {
     shared: Arc<Shared>,
-    /// The two ends, as the connecting process sees them.
-    ends: (SocketAddr, SocketAddr),
-    /// Zone of that process, once it was looked up; none for the test itself.
-    from: Cell<Option<Option<usize>>>,
-    to: usize,
+    /// Local and remote address, as the connecting process sees them.
+    endpoints: (SocketAddr, SocketAddr),
+    /// Zone of that process once it was looked up; the inner `None` is the test itself.
+    source_zone: Cell<Option<Option<usize>>>,
+    target_zone: usize,
 }
 
-impl Gate {
-    fn is(&self, mode: Mode) -> bool {
+impl ConnectionMode {
+    fn is(&self, mode: LinkMode) -> bool {
         let modes = &self.shared.modes;
-        let set = |from: usize| modes[from][self.to].load(Ordering::Relaxed) == mode as u8;
-        if !(0..ZONES).any(set) {
+        let is_set =
+            |source: usize| modes[source][self.target_zone].load(Ordering::Relaxed) == mode as u8;
+        if !(0..ZONES).any(is_set) {
             return false;
         }
-        if self.from.get().is_none() {
-            self.from.set(Some(self.shared.zone_of(self.ends)));
+        if self.source_zone.get().is_none() {
+            self.source_zone
+                .set(Some(self.shared.zone_of(self.endpoints)));
         }
-        self.from.get().flatten().is_some_and(set)
+        self.source_zone.get().flatten().is_some_and(is_set)
     }
 
-    async fn released(&self) {
-        while self.is(Mode::Hold) {
-            compio::time::sleep(LOOK).await;
+    async fn wait_while_stalled(&self) {
+        while self.is(LinkMode::Stall) {
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn cut(&self) {
-        while !self.is(Mode::Cut) {
-            compio::time::sleep(LOOK).await;
+    async fn wait_until_disconnected(&self) {
+        while !self.is(LinkMode::Disconnect) {
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
 async fn serve(listener: TcpListener, route: Route, shared: Arc<Shared>) {
     while let Ok((stream, peer)) = listener.accept().await {
-        let gate = Gate {
+        let mode = ConnectionMode {
             shared: Arc::clone(&shared),
-            ends: (peer, route.listen),
-            from: Cell::new(None),
-            to: route.zone,
+            endpoints: (peer, route.listen),
+            source_zone: Cell::new(None),
+            target_zone: route.zone,
         };
-        compio::runtime::spawn(carry(stream, route.target, gate)).detach();
+        compio::runtime::spawn(forward_connection(stream, route.target, mode)).detach();
     }
 }
 
-async fn carry(near: TcpStream, target: SocketAddr, gate: Gate) {
-    let carried = async {
-        gate.released().await;
-        let far = TcpStream::connect(target).await?;
-        let there = pump(&near, &far, &gate);
-        let back = pump(&far, &near, &gate);
-        try_join(there, back).await?;
+async fn forward_connection(source: TcpStream, target: SocketAddr, mode: ConnectionMode) {
+    let forwarding = async {
+        mode.wait_while_stalled().await;
+        let target = TcpStream::connect(target).await?;
+        let to_target = copy_stream(&source, &target, &mode);
+        let to_source = copy_stream(&target, &source, &mode);
+        try_join(to_target, to_source).await?;
         io::Result::Ok(())
     };
-    select(std::pin::pin!(carried), std::pin::pin!(gate.cut())).await;
+    select(
+        std::pin::pin!(forwarding),
+        std::pin::pin!(mode.wait_until_disconnected()),
+    )
+    .await;
 }
 
-async fn pump(mut from: &TcpStream, mut to: &TcpStream, gate: &Gate) -> io::Result<()> {
+async fn copy_stream(
+    mut from: &TcpStream,
+    mut to: &TcpStream,
+    mode: &ConnectionMode,
+) -> io::Result<()> {
     let mut buffer = Vec::with_capacity(BUFFER_BYTES);
     loop {
         let BufResult(read, filled) = from.read(buffer).await;
         let count = read;
-        gate.released().await;
+        mode.wait_while_stalled().await;
         if count? == 0 {
             return to.shutdown().await;
         }
@@ -210,17 +222,18 @@
 
 impl Shared {
     /// Availability zone of the daemon that opened a connection.
-    fn zone_of(&self, ends: (SocketAddr, SocketAddr)) -> Option<usize> {
+    fn zone_of(&self, endpoints: (SocketAddr, SocketAddr)) -> Option<usize> {
         let mut connections = self.connections.lock().expect("no holder panics");
-        let known = inode(&connections, ends).and_then(|inode| self.owner(inode));
+        let known = inode(&connections, endpoints).and_then(|inode| self.owner_zone(inode));
         if known.is_some() {
             return known;
         }
         *connections = fs::read_to_string("/proc/net/tcp").ok()?;
-        inode(&connections, ends).and_then(|inode| self.owner(inode))
+        inode(&connections, endpoints).and_then(|inode| self.owner_zone(inode))
     }
 
-    fn owner(&self, inode: &str) -> Option<usize> {
+    /// Availability zone of the daemon that has the socket `inode` open.
+    fn owner_zone(&self, inode: &str) -> Option<usize> {
         let socket = format!("socket:[{inode}]");
         let owns = |process: u32| {
             let files = fs::read_dir(format!("/proc/{process}/fd")).ok();
@@ -234,16 +247,20 @@
     }
 }
 
-/// Number of the socket that is bound and connected so.
+/// Inode number of the socket with these local and remote addresses.
 fn inode(connections: &str, (local, remote): (SocketAddr, SocketAddr)) -> Option<&str> {
-    let ends = format!(" {} {} ", kernel_form(local)?, kernel_form(remote)?);
-    let start = connections.find(&ends)? + ends.len();
-    // State, queues, timer, retransmits, user and time-out stand before it.
+    let endpoints = format!(
+        " {} {} ",
+        proc_net_address(local)?,
+        proc_net_address(remote)?
+    );
+    let start = connections.find(&endpoints)? + endpoints.len();
+    // Skips the columns state, queues, timer, retransmits, user ID and timeout.
     connections[start..].split_whitespace().nth(6)
 }
 
 /// An address as `/proc/net/tcp` writes it.
-fn kernel_form(address: SocketAddr) -> Option<String> {
+fn proc_net_address(address: SocketAddr) -> Option<String> {
     let SocketAddr::V4(address) = address else {
         return None;
     };
--- a/tests/processes/main.rs
+++ b/tests/processes/main.rs
@@ -1,11 +1,11 @@
-//! Sessions and faults with real processes on loopback.
+//! Tests of request sessions and faults with real processes on loopback.
 //!
-//! Each test has a fleet of its own on an address of its own, so that tests
-//! run side by side. Waits poll a condition with a generous limit; a duration is
-//! asserted only where the promise is one, with a generous slack.
+//! Each test starts its own fleet on its own IP address, so that tests run in
+//! parallel. Waits poll a condition with a generous time limit. Durations are
+//! asserted only where the daemon guarantees them, with a generous slack.
 
 mod answers;
-mod caller;
+mod client;
 mod configuration;
 mod control;
 mod fleet;
--- a/tests/processes/memory.rs
+++ b/tests/processes/memory.rs
@@ -1,43 +1,45 @@
-//! No engine loses memory permanently.
+//! Engines free all memory after requests end, fail or are cancelled.
 
 use serde_json::{Value, json};
 
-use crate::fleet::{Fleet, Plan, wait_until};
-use crate::requests::{COMPLETIONS, answer_text, question};
+use crate::fleet::{Fleet, FleetSpec, wait_until};
+use crate::requests::{COMPLETIONS, answer_text, completion_body};
 
-/// Engines too small for the prompt of [`archive`], and slow enough to be interrupted.
-fn small_engines() -> Plan {
+/// Engines too small for a [`long_prompt`], and slow enough to be interrupted.
+fn small_engines() -> FleetSpec {
     let engine = json!({
         "time_scale": 1.0, "load_lag_ms": 20, "kv_total_tokens": 3000,
         "step": {"base_us": 1000, "prefill_token_us": 1000}
     });
-    Plan {
+    FleetSpec {
         engines: vec![engine; 2],
         daemons: 2,
-        ..Plan::default()
+        ..FleetSpec::default()
     }
 }
 
-/// A prompt that needs two engines of [`small_engines`].
-fn archive(name: &str) -> Value {
-    let mut body = question(name, 5, true);
+/// A request whose prompt needs a group of two engines of [`small_engines`].
+fn long_prompt(name: &str) -> Value {
+    let mut body = completion_body(name, 5, true);
     body["prompt"] = json!(format!("{name} {}", "history ".repeat(2000)));
     body
 }
 
 #[test]
-fn after_finish_cancel_and_repeated_cancel() {
-    let mut plan = Plan::default();
-    for engine in &mut plan.engines {
+fn memory_is_freed_after_finish_cancel_and_repeated_cancel() {
+    let mut spec = FleetSpec::default();
+    for engine in &mut spec.engines {
         engine["time_scale"] = json!(0.2);
     }
-    let fleet = Fleet::start(plan);
-    let whole = question("whole", 5, true);
-    let answer = fleet.caller(0).post(COMPLETIONS, &whole);
-    assert_eq!(answer.text(), answer_text(&whole));
+    let fleet = Fleet::start(spec);
+    let finished = completion_body("whole", 5, true);
+    let answer = fleet.caller_client(0).post(COMPLETIONS, &finished);
+    assert_eq!(answer.text(), answer_text(&finished));
     for round in 0..4 {
-        let body = question(&format!("left {round}"), 2000, true);
-        let left = fleet.caller(0).leave_after(2, COMPLETIONS, &body);
+        let body = completion_body(&format!("left {round}"), 2000, true);
+        let left = fleet
+            .caller_client(0)
+            .disconnect_after(2, COMPLETIONS, &body);
         let event = left.body.split("\n\n").next().unwrap_or_default();
         let event = event.trim_start_matches("data: ");
         let event: Value = serde_json::from_str(event).expect("an event");
@@ -45,37 +47,42 @@
         for engine in 0..2 {
             let path = format!("/v1/requests/{id}/attempts/1");
             for _ in 0..3 {
-                let cancel =
-                    fleet
-                        .engine(engine)
-                        .send(http::Method::DELETE, &path, bytes::Bytes::new());
+                let cancel = fleet.engine_client(engine).send(
+                    http::Method::DELETE,
+                    &path,
+                    bytes::Bytes::new(),
+                );
                 assert_eq!(cancel.status, 204);
             }
         }
     }
     wait_until("all are cancelled", || {
-        fleet.engines_counter("cancelled") >= 4
+        fleet.engine_counter_sum("cancelled") >= 4
     });
     fleet.wait_until_memory_is_free();
-    assert_eq!(fleet.engines_counter("invariants_broken"), 0);
+    assert_eq!(fleet.engine_counter_sum("invariants_broken"), 0);
 }
 
 #[test]
-fn after_the_death_of_a_daemon_with_a_group() {
+fn memory_is_freed_after_a_daemon_with_an_engine_group_is_killed() {
     let mut fleet = Fleet::start(small_engines());
-    let body = archive("killed");
-    let caller = fleet.caller(0).with("mangofront-class", "review");
-    let asking = std::thread::spawn(move || caller.post(COMPLETIONS, &body));
+    let body = long_prompt("killed");
+    let caller = fleet
+        .caller_client(0)
+        .with_header("mangofront-class", "review");
+    let request = std::thread::spawn(move || caller.post(COMPLETIONS, &body));
     wait_until("the group is reserved", || {
         fleet.engine_counter(0, "reserved_tokens") > 0
             && fleet.engine_counter(1, "reserved_tokens") > 0
     });
     fleet.daemons[0].kill();
-    asking.join().expect("the caller ends");
+    request.join().expect("the caller ends");
     fleet.wait_until_memory_is_free();
-    // The memory is usable: another daemon's group gets all of it.
-    let body = archive("next");
-    let caller = fleet.caller(1).with("mangofront-class", "review");
+    // The memory can be reserved again: another daemon's group needs all of it.
+    let body = long_prompt("next");
+    let caller = fleet
+        .caller_client(1)
+        .with_header("mangofront-class", "review");
     let answer = caller.post(COMPLETIONS, &body);
     assert!(answer.is_complete(), "{answer:?}");
     assert_eq!(answer.text(), answer_text(&body));
@@ -83,14 +90,16 @@
 }
 
 #[test]
-fn a_member_of_a_group_is_frozen() {
-    let mut plan = small_engines();
-    plan.engines.push(plan.engines[0].clone());
-    let fleet = Fleet::start(plan);
+fn memory_is_freed_after_an_engine_of_a_group_freezes() {
+    let mut spec = small_engines();
+    spec.engines.push(spec.engines[0].clone());
+    let fleet = Fleet::start(spec);
     std::thread::scope(|scope| {
-        let asking = scope.spawn(|| {
-            let caller = fleet.caller(0).with("mangofront-class", "review");
-            caller.post(COMPLETIONS, &archive("frozen"))
+        let request = scope.spawn(|| {
+            let caller = fleet
+                .caller_client(0)
+                .with_header("mangofront-class", "review");
+            caller.post(COMPLETIONS, &long_prompt("frozen"))
         });
         let reserved = |engine| fleet.engine_counter(engine, "reserved_tokens") > 0;
         wait_until("the group is reserved", || {
@@ -98,7 +107,7 @@
         });
         let member = (0..3).find(|engine| reserved(*engine)).expect("a member");
         fleet.engines[member].signal("STOP");
-        let answer = asking.join().expect("an answer");
+        let answer = request.join().expect("the request thread ends");
         assert!(answer.is_complete(), "{answer:?}");
         fleet.engines[member].signal("CONT");
     });
@@ -106,12 +115,14 @@
 }
 
 #[test]
-fn after_a_caller_left_its_group() {
+fn memory_is_freed_after_the_caller_of_a_group_disconnects() {
     let fleet = Fleet::start(small_engines());
     for round in 0..2 {
-        let caller = fleet.caller(0).with("mangofront-class", "review");
-        let body = archive(&round.to_string());
-        let left = caller.leave_after(1, COMPLETIONS, &body);
+        let caller = fleet
+            .caller_client(0)
+            .with_header("mangofront-class", "review");
+        let body = long_prompt(&round.to_string());
+        let left = caller.disconnect_after(1, COMPLETIONS, &body);
         assert_eq!(left.status, 200, "{left:?}");
     }
     fleet.wait_until_memory_is_free();
--- a/tests/processes/once.rs
+++ b/tests/processes/once.rs
@@ -1,17 +1,21 @@
-//! Non-repeatable orders run at most once, whatever fails.
+//! Non-repeatable orders run at most once under faults.
 
 use std::thread;
 use std::time::Duration;
 
 use serde_json::Value;
 
-use crate::caller::Answer;
-use crate::fleet::{Fleet, Plan, unix_ms, wait_until};
-use crate::link::{Mode, ZONES};
+use crate::client::Answer;
+use crate::fleet::{Fleet, FleetSpec, unix_ms, wait_until};
+use crate::link::{LinkMode, ZONES};
 
-/// How often `key` ran, on all instances of the service together.
-fn runs(fleet: &Fleet, key: &str) -> u64 {
-    fleet.runs().get(key).copied().unwrap_or_default()
+/// Number of executions of `key` on all instances of the service.
+fn executions(fleet: &Fleet, key: &str) -> u64 {
+    fleet
+        .executions_by_key()
+        .get(key)
+        .copied()
+        .unwrap_or_default()
 }
 
 fn outcome(answer: &Answer) -> Value {
@@ -20,7 +24,7 @@
 
 #[test]
 fn one_key_at_all_daemons_at_once() {
-    let fleet = Fleet::start(Plan::zones(3));
+    let fleet = Fleet::start(FleetSpec::zones(3));
     fleet.wait_until_orders_run();
     for round in 0..5 {
         let key = format!("meter-{round}");
@@ -32,42 +36,42 @@
             let sending: Vec<_> = sending.collect();
             sending
                 .into_iter()
-                .map(|one| one.join().expect("an order"))
+                .map(|order| order.join().expect("the order thread ends"))
                 .collect()
         });
-        assert_eq!(runs(&fleet, &key), 1, "{answers:?}");
+        assert_eq!(executions(&fleet, &key), 1, "{answers:?}");
         assert!(answers.iter().any(|answer| answer.status == 200));
     }
 }
 
 #[test]
-fn both_sides_of_a_cut() {
-    let fleet = Fleet::start(Plan::zones(3));
+fn one_key_on_both_sides_of_a_partition() {
+    let fleet = Fleet::start(FleetSpec::zones(3));
     fleet.wait_until_orders_run();
-    fleet.links().isolate(2, Mode::Hold);
+    fleet.links().isolate(2, LinkMode::Stall);
     let (inside, outside) = thread::scope(|scope| {
         let inside = scope.spawn(|| fleet.order(2, "cut-1"));
         let outside = scope.spawn(|| fleet.order(0, "cut-1"));
         (
-            inside.join().expect("an order"),
-            outside.join().expect("an order"),
+            inside.join().expect("the order thread ends"),
+            outside.join().expect("the order thread ends"),
         )
     });
     assert_eq!(outside.status, 200, "{}", outside.body);
     assert_ne!(inside.status, 200, "{}", inside.body);
-    assert_eq!(runs(&fleet, "cut-1"), 1);
-    fleet.links().isolate(2, Mode::Pass);
-    wait_until("the cut-off side gives the answer", || {
+    assert_eq!(executions(&fleet, "cut-1"), 1);
+    fleet.links().isolate(2, LinkMode::Forward);
+    wait_until("the isolated zone replays the answer", || {
         let again = fleet.order(2, "cut-1");
         assert!(again.status == 200 || outcome(&again) != "failed");
         again.status == 200
     });
-    assert_eq!(runs(&fleet, "cut-1"), 1);
+    assert_eq!(executions(&fleet, "cut-1"), 1);
 }
 
 #[test]
-fn retry_after_the_death_of_the_daemon_that_ran_it() {
-    let mut fleet = Fleet::start(Plan::zones(3));
+fn retry_after_the_executing_daemon_is_killed() {
+    let mut fleet = Fleet::start(FleetSpec::zones(3));
     fleet.wait_until_orders_run();
     assert_eq!(fleet.order(0, "dead-1").status, 200);
     fleet.replace_daemon(0);
@@ -77,10 +81,10 @@
         let known = again.status == 200 || outcome(&again) == "unknown";
         assert!(known, "{}", again.body);
     }
-    assert_eq!(runs(&fleet, "dead-1"), 1);
+    assert_eq!(executions(&fleet, "dead-1"), 1);
 }
 
-/// A UUID of version 7, minted now.
+/// A UUID of version 7 with the current time.
 fn time_stamped_key(number: u64) -> String {
     let minted = unix_ms();
     let (high, low) = (minted >> 16, minted & 0xffff);
@@ -88,32 +92,32 @@
 }
 
 #[test]
-fn the_daemon_that_runs_it_is_frozen_and_wakes() {
-    let fleet = Fleet::start(Plan::zones(3));
+fn executing_daemon_freezes_and_resumes() {
+    let fleet = Fleet::start(FleetSpec::zones(3));
     fleet.wait_until_orders_run();
     for service in 0..ZONES {
         let slow = serde_json::json!({"delay_ms": 500});
-        fleet.service(service).post("/control", &slow);
+        fleet.service_client(service).post("/control", &slow);
     }
     thread::scope(|scope| {
         let first = scope.spawn(|| fleet.order(0, "frozen-1"));
-        wait_until("the order runs", || runs(&fleet, "frozen-1") == 1);
+        wait_until("the order runs", || executions(&fleet, "frozen-1") == 1);
         fleet.daemons[0].signal("STOP");
         let meanwhile = fleet.order(1, "frozen-1");
         assert_ne!(meanwhile.outcome().as_deref(), Some("not_run"));
         fleet.daemons[0].signal("CONT");
-        let first = first.join().expect("an order");
+        let first = first.join().expect("the order thread ends");
         assert_ne!(first.outcome().as_deref(), Some("not_run"), "{first:?}");
     });
-    wait_until("its answer is given everywhere", || {
+    wait_until("every daemon replays the answer", || {
         (0..ZONES).all(|daemon| fleet.order(daemon, "frozen-1").status == 200)
     });
-    assert_eq!(runs(&fleet, "frozen-1"), 1);
+    assert_eq!(executions(&fleet, "frozen-1"), 1);
 }
 
 #[test]
-fn the_whole_fleet_is_killed_and_started_again() {
-    let mut fleet = Fleet::start(Plan::zones(3));
+fn whole_fleet_is_killed_and_restarted() {
+    let mut fleet = Fleet::start(FleetSpec::zones(3));
     fleet.wait_until_orders_run();
     assert_eq!(fleet.order(0, "before-1").status, 200);
     (0..ZONES).for_each(|daemon| fleet.daemons[daemon].kill());
@@ -126,11 +130,11 @@
         number += 1;
         let key = time_stamped_key(number);
         let answer = fleet.order(0, &key);
-        assert!(runs(&fleet, &key) <= 1);
+        assert!(executions(&fleet, &key) <= 1);
         if answer.status == 200 {
             break;
         }
-        assert_eq!(runs(&fleet, &key), 0, "{answer:?}");
+        assert_eq!(executions(&fleet, &key), 0, "{answer:?}");
         thread::sleep(Duration::from_millis(100));
     }
     assert!(number < 200, "a key minted after the start runs");
@@ -138,5 +142,5 @@
         let again = fleet.order(daemon, "before-1");
         assert_eq!(again.outcome().as_deref(), Some("unknown"), "{again:?}");
     }
-    assert_eq!(runs(&fleet, "before-1"), 1);
+    assert_eq!(executions(&fleet, "before-1"), 1);
 }
--- a/tests/processes/process.rs
+++ b/tests/processes/process.rs
@@ -1,13 +1,13 @@
-//! A process of a test.
+//! A child process that a test starts, signals and kills.
 
 use std::process::{Child, Command};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a process may take to end by itself before a test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for a process to exit by itself.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process that ends with its owner.
+/// A child process that is killed when this value is dropped.
 #[derive(Debug)]
 pub struct Process {
     pub child: Child,
@@ -19,7 +19,7 @@
         Self { child }
     }
 
-    /// Sends a signal by its name.
+    /// Sends the signal of a name such as `TERM`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let sent = Command::new("kill")
@@ -31,23 +31,23 @@
         );
     }
 
-    /// Ends the process at once, as a fault.
+    /// Kills the process and waits for it to exit.
     pub fn kill(&mut self) {
-        // One that has ended already needs no signal.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         self.child.wait().expect("the process can be waited for");
     }
 
-    /// Whether the process has ended.
+    /// Returns whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         let status = self.child.try_wait();
         status.expect("the process can be waited for").is_some()
     }
 
-    /// Waits for the process to end by itself; its exit code.
+    /// Waits for the process to exit by itself and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         let started = Instant::now();
-        while started.elapsed() < PATIENCE {
+        while started.elapsed() < EXIT_TIMEOUT {
             if let Some(status) = self
                 .child
                 .try_wait()
@@ -57,13 +57,13 @@
             }
             thread::sleep(Duration::from_millis(10));
         }
-        panic!("the process did not end in time");
+        panic!("the process did not exit within {EXIT_TIMEOUT:?}");
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Ending a process that has ended already fails, and that is fine.
+        // Both calls fail if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/processes/services.rs
+++ b/tests/processes/services.rs
@@ -1,19 +1,21 @@
-//! Calls of services whose instances fail.
+//! Calls to services whose instances fail.
 
 use serde_json::json;
 
-use crate::fleet::{Fleet, Plan};
+use crate::fleet::{Fleet, FleetSpec};
 
 #[test]
-fn a_frozen_instance_is_left_for_another() {
-    let fleet = Fleet::start(Plan {
+fn calls_avoid_a_frozen_instance() {
+    let fleet = Fleet::start(FleetSpec {
         services: vec![json!({}), json!({})],
-        ..Plan::default()
+        ..FleetSpec::default()
     });
     // The first instance is in the daemon's own availability zone.
     fleet.services[0].signal("STOP");
     for _ in 0..4 {
-        let answer = fleet.caller(0).get("/v1/services/fleet-ops/meters/7");
+        let answer = fleet
+            .caller_client(0)
+            .get("/v1/services/fleet-ops/meters/7");
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     assert_eq!(fleet.service_total(1), 4);
@@ -22,15 +24,15 @@
 
 #[test]
 fn the_only_instance_stays_in_use_after_a_failure() {
-    let fleet = Fleet::start(Plan::default());
-    let caller = fleet.caller(0);
+    let fleet = Fleet::start(FleetSpec::default());
+    let caller = fleet.caller_client(0);
     fleet
-        .service(0)
+        .service_client(0)
         .post("/control", &json!({"break_before_run": true}));
     let broken = caller.post("/v1/services/fleet-ops/meters/7", &json!({}));
     assert_eq!(broken.status, 502, "{}", broken.body);
     fleet
-        .service(0)
+        .service_client(0)
         .post("/control", &json!({"break_before_run": false}));
     let answer = caller.post("/v1/services/fleet-ops/meters/7", &json!({}));
     assert_eq!(answer.status, 200, "{}", answer.body);
--- a/tests/processes/soak/faults.rs
+++ b/tests/processes/soak/faults.rs
@@ -1,7 +1,8 @@
-//! The faults of a run, drawn from its seed.
+//! Fault injection of a soak run, drawn from its seed.
 //!
-//! Faults overlap; each is healed after its time. Those that keep the news of a
-//! leaving engine from a daemon are not begun while that news is checked.
+//! Faults overlap, and each is healed after its duration. While a leaving engine is
+//! checked for new work, no fault is injected that could delay the update that it is
+//! leaving.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -12,52 +13,53 @@
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
 
-use super::{DAEMONS, ENGINES, Run, SERVICES, next_configuration};
+use super::{DAEMONS, ENGINES, Run, SERVICES, unique_configuration};
 use crate::fleet::Fleet;
-use crate::link::{Mode, ZONES};
+use crate::link::{LinkMode, ZONES};
 use crate::process::Process;
 
-/// Longest pause between two faults.
-const LONGEST_PAUSE_MS: u64 = 1500;
+/// Upper bound of the pause between two faults.
+const MAX_PAUSE_MS: u64 = 1500;
 
-/// Time after which a leaving engine gets no work.
-const LEAVING_AFTER: Duration = Duration::from_secs(3);
+/// Time within which daemons stop sending work to a leaving engine.
+const LEAVING_DEADLINE: Duration = Duration::from_secs(3);
 
-/// Time for which it is then watched.
-const LEAVING_WATCHED: Duration = Duration::from_millis(1500);
+/// Duration for which the engine is then checked for new work.
+const LEAVING_CHECK_DURATION: Duration = Duration::from_millis(1500);
 
-/// What heals a fault.
+/// Action that heals a fault.
 #[derive(Debug, Clone, Copy)]
 enum Heal {
     StartDaemon(usize),
-    WakeDaemon(usize),
+    ResumeDaemon(usize),
     AwaitStop(usize),
-    Link(usize, usize),
-    Platform(usize),
+    RestoreLink(usize, usize),
+    RestorePlatform(usize),
     StartEngine(usize),
-    WakeEngine(usize),
-    Engine(usize),
-    Service(usize),
+    ResumeEngine(usize),
+    RestoreEngine(usize),
+    RestoreService(usize),
 }
 
-/// A leaving engine that is being watched.
+/// A leaving engine that is checked for new work.
 #[derive(Debug)]
 struct Leaving {
     engine: usize,
     since: Instant,
+    /// Number of requests that it had started at [`LEAVING_DEADLINE`].
     started: Option<u64>,
 }
 
-/// The faults of one run and the processes they befall.
+/// Injects the faults of one run, and owns the processes that they affect.
 #[derive(Debug)]
 pub struct Faults {
     random: StdRng,
     daemons: Vec<Process>,
     engines: Vec<Process>,
-    /// Daemons that are stopped, frozen or dead.
-    away: [bool; DAEMONS],
-    engines_away: [bool; ENGINES],
-    healing: Vec<(Instant, Heal)>,
+    /// Daemons that are stopped, frozen or killed.
+    daemons_unavailable: [bool; DAEMONS],
+    engines_unavailable: [bool; ENGINES],
+    pending_heals: Vec<(Instant, Heal)>,
     leaving: Option<Leaving>,
     pub newest_revision: u64,
     pub counts: BTreeMap<&'static str, u64>,
@@ -69,120 +71,131 @@
             random: StdRng::seed_from_u64(seed),
             daemons: std::mem::take(&mut fleet.daemons),
             engines: std::mem::take(&mut fleet.engines),
-            away: [false; DAEMONS],
-            engines_away: [false; ENGINES],
-            healing: Vec::new(),
+            daemons_unavailable: [false; DAEMONS],
+            engines_unavailable: [false; ENGINES],
+            pending_heals: Vec::new(),
             leaving: None,
             newest_revision: fleet.revision(0),
             counts: BTreeMap::new(),
         }
     }
 
-    /// Brings one fault about, after a pause in which others are healed.
-    pub fn next(&mut self, run: &Run) {
-        let pause = self.random.random_range(200..LONGEST_PAUSE_MS);
+    /// Injects one fault, after a pause in which expired faults are healed.
+    pub fn inject_next(&mut self, run: &Run) {
+        let pause = self.random.random_range(200..MAX_PAUSE_MS);
         let until = Instant::now() + Duration::from_millis(pause);
         while Instant::now() < until {
-            self.heal_due(run, Instant::now());
-            self.watch_leaving(run);
+            self.heal_expired(run, Instant::now());
+            self.check_leaving_engine(run);
             self.check_daemons();
             thread::sleep(Duration::from_millis(20));
         }
-        let kind = self.random.random_range(0..12);
-        let place: usize = self.random.random_range(0..DAEMONS);
+        let fault = self.random.random_range(0..12);
+        let target: usize = self.random.random_range(0..DAEMONS);
         let time = Duration::from_millis(self.random.random_range(300..4000));
-        let name = self.begin(run, kind, place, time);
+        let name = self.inject(run, fault, target, time);
         *self.counts.entry(name).or_default() += 1;
     }
 
-    fn begin(&mut self, run: &Run, kind: u32, place: usize, time: Duration) -> &'static str {
-        let hides_news = matches!(kind, 0..=5);
-        if hides_news && self.leaving.is_some() {
+    fn inject(&mut self, run: &Run, fault: u32, target: usize, time: Duration) -> &'static str {
+        let delays_updates = matches!(fault, 0..=5);
+        if delays_updates && self.leaving.is_some() {
             return "none";
         }
-        match kind {
-            0 => self.kill_daemon(run, place, time),
-            1 => self.freeze_daemon(run, place, time),
-            2 => self.link(run, place, Mode::Hold, time),
-            3 => self.link(run, place, Mode::Cut, time),
-            4 => self.platform(run, place, time),
-            5 => self.platform_absent(run, place, time),
-            6 => self.leave(run, place),
+        match fault {
+            0 => self.kill_daemon(run, target, time),
+            1 => self.freeze_daemon(run, target, time),
+            2 => self.partition_zones(run, target, LinkMode::Stall, time),
+            3 => self.partition_zones(run, target, LinkMode::Disconnect, time),
+            4 => self.make_platform_stale(run, target, time),
+            5 => self.make_platform_unavailable(run, target, time),
+            6 => self.publish_leaving_engine(run, target),
             7 => self.publish(run),
-            8 => self.stop_daemon(run, place, time),
-            9 => self.kill_engine(run, place, time),
-            10 => self.freeze_engine(place, time),
-            _ => self.trouble_upstream(run, place, time),
+            8 => self.stop_daemon(run, target, time),
+            9 => self.kill_engine(run, target, time),
+            10 => self.freeze_engine(target, time),
+            _ => self.degrade_upstream(run, target, time),
         }
     }
 
-    fn heal_at(&mut self, time: Duration, heal: Heal) {
-        self.healing.push((Instant::now() + time, heal));
+    fn schedule_heal(&mut self, time: Duration, heal: Heal) {
+        self.pending_heals.push((Instant::now() + time, heal));
     }
 
     fn kill_daemon(&mut self, run: &Run, daemon: usize, time: Duration) -> &'static str {
-        if self.away[daemon] {
+        if self.daemons_unavailable[daemon] {
             return "none";
         }
-        self.away[daemon] = true;
-        run.disturbed[daemon].fetch_add(1, Ordering::SeqCst);
-        run.killed[daemon].fetch_add(1, Ordering::SeqCst);
+        self.daemons_unavailable[daemon] = true;
+        run.disturbances[daemon].fetch_add(1, Ordering::SeqCst);
+        run.kills[daemon].fetch_add(1, Ordering::SeqCst);
         self.daemons[daemon].kill();
-        run.killed[daemon].fetch_add(1, Ordering::SeqCst);
-        self.heal_at(time, Heal::StartDaemon(daemon));
+        run.kills[daemon].fetch_add(1, Ordering::SeqCst);
+        self.schedule_heal(time, Heal::StartDaemon(daemon));
         "daemon killed"
     }
 
     fn freeze_daemon(&mut self, run: &Run, daemon: usize, time: Duration) -> &'static str {
-        if self.away[daemon] {
+        if self.daemons_unavailable[daemon] {
             return "none";
         }
-        self.away[daemon] = true;
-        run.disturbed[daemon].fetch_add(1, Ordering::SeqCst);
+        self.daemons_unavailable[daemon] = true;
+        run.disturbances[daemon].fetch_add(1, Ordering::SeqCst);
         self.daemons[daemon].signal("STOP");
-        self.heal_at(time, Heal::WakeDaemon(daemon));
+        self.schedule_heal(time, Heal::ResumeDaemon(daemon));
         "daemon frozen"
     }
 
     fn stop_daemon(&mut self, run: &Run, daemon: usize, time: Duration) -> &'static str {
-        if self.away[daemon] {
+        if self.daemons_unavailable[daemon] {
             return "none";
         }
-        self.away[daemon] = true;
-        run.disturbed[daemon].fetch_add(1, Ordering::SeqCst);
+        self.daemons_unavailable[daemon] = true;
+        run.disturbances[daemon].fetch_add(1, Ordering::SeqCst);
         self.daemons[daemon].signal("TERM");
-        self.heal_at(time, Heal::AwaitStop(daemon));
+        self.schedule_heal(time, Heal::AwaitStop(daemon));
         "daemon stopped"
     }
 
-    fn link(&mut self, run: &Run, place: usize, mode: Mode, time: Duration) -> &'static str {
-        let (one, other) = [(0, 1), (0, 2), (1, 2)][place % ZONES];
-        run.fleet.links().set(one, other, mode);
-        self.heal_at(time, Heal::Link(one, other));
-        if mode == Mode::Hold {
-            "zones held apart"
+    fn partition_zones(
+        &mut self,
+        run: &Run,
+        target: usize,
+        mode: LinkMode,
+        time: Duration,
+    ) -> &'static str {
+        let (one, other) = [(0, 1), (0, 2), (1, 2)][target % ZONES];
+        run.fleet.links().set_mode(one, other, mode);
+        self.schedule_heal(time, Heal::RestoreLink(one, other));
+        if mode == LinkMode::Stall {
+            "zones stalled"
         } else {
-            "zones cut"
+            "zones disconnected"
         }
     }
 
-    fn platform(&mut self, run: &Run, place: usize, time: Duration) -> &'static str {
+    fn make_platform_stale(&mut self, run: &Run, target: usize, time: Duration) -> &'static str {
         let control = json!({"stale": true});
-        run.fleet.platform(place).post("/control", &control);
-        self.heal_at(time, Heal::Platform(place % ZONES));
+        run.fleet.platform_client(target).post("/control", &control);
+        self.schedule_heal(time, Heal::RestorePlatform(target % ZONES));
         "platform stale"
     }
 
-    fn platform_absent(&mut self, run: &Run, place: usize, time: Duration) -> &'static str {
-        let switch = if place < ZONES {
+    fn make_platform_unavailable(
+        &mut self,
+        run: &Run,
+        target: usize,
+        time: Duration,
+    ) -> &'static str {
+        let switch = if target < ZONES {
             "down"
         } else {
             "hang_watches"
         };
         run.fleet
-            .platform(place)
+            .platform_client(target)
             .post("/control", &json!({switch: true}));
-        self.heal_at(time, Heal::Platform(place % ZONES));
+        self.schedule_heal(time, Heal::RestorePlatform(target % ZONES));
         "platform down or hanging"
     }
 
@@ -190,24 +203,32 @@
         if self.random.random_ratio(1, 4) {
             let invalid = json!({"classes": {"review": {"weight": 3}}});
             run.fleet.publish("configuration", &invalid);
-            // A revision is used up, and the next one has to be valid.
+            // The invalid value takes a revision, so the next one must be valid.
             self.newest_revision += 1;
         }
         self.newest_revision += 1;
-        let next = next_configuration(run, self.newest_revision);
+        let next = unique_configuration(run, self.newest_revision);
         run.fleet.publish("configuration", &next);
         "configuration"
     }
 
-    /// Publishes an engine as leaving, when every daemon can hear of it.
-    fn leave(&mut self, run: &Run, engine: usize) -> &'static str {
-        let hidden = |heal: &Heal| {
+    /// Publishes an engine as leaving, unless a fault could delay the update at a daemon.
+    fn publish_leaving_engine(&mut self, run: &Run, engine: usize) -> &'static str {
+        let delays_updates = |heal: &Heal| {
             matches!(
                 heal,
-                Heal::Link(..) | Heal::Platform(_) | Heal::WakeDaemon(_) | Heal::StartDaemon(_)
+                Heal::RestoreLink(..)
+                    | Heal::RestorePlatform(_)
+                    | Heal::ResumeDaemon(_)
+                    | Heal::StartDaemon(_)
             )
         };
-        if self.leaving.is_some() || self.healing.iter().any(|(_, heal)| hidden(heal)) {
+        if self.leaving.is_some()
+            || self
+                .pending_heals
+                .iter()
+                .any(|(_, heal)| delays_updates(heal))
+        {
             return "none";
         }
         let name = format!("engine-{engine}");
@@ -221,16 +242,16 @@
         "engine leaving"
     }
 
-    fn watch_leaving(&mut self, run: &Run) {
+    fn check_leaving_engine(&mut self, run: &Run) {
         let Some(leaving) = &mut self.leaving else {
             return;
         };
         let engine = leaving.engine;
         let time = leaving.since.elapsed();
-        if time < LEAVING_AFTER {
+        if time < LEAVING_DEADLINE {
             return;
         }
-        if self.engines_away[engine] {
+        if self.engines_unavailable[engine] {
             self.end_leaving(run);
             return;
         }
@@ -238,9 +259,9 @@
         let before = *leaving.started.get_or_insert(started);
         assert_eq!(
             started, before,
-            "engine-{engine} got work {time:?} after it left"
+            "engine-{engine} got work {time:?} after it was published as leaving"
         );
-        if time > LEAVING_AFTER + LEAVING_WATCHED {
+        if time > LEAVING_DEADLINE + LEAVING_CHECK_DURATION {
             self.end_leaving(run);
         }
     }
@@ -252,61 +273,62 @@
     }
 
     fn kill_engine(&mut self, run: &Run, engine: usize, time: Duration) -> &'static str {
-        if self.engines_away[engine] {
+        if self.engines_unavailable[engine] {
             return "none";
         }
-        self.engines_away[engine] = true;
+        self.engines_unavailable[engine] = true;
         if self.random.random() {
             self.engines[engine].kill();
         } else {
             let die = json!({"die_after_tokens": 30});
-            run.fleet.engine(engine).post("/control", &die);
+            run.fleet.engine_client(engine).post("/control", &die);
         }
-        self.heal_at(time, Heal::StartEngine(engine));
+        self.schedule_heal(time, Heal::StartEngine(engine));
         "engine died"
     }
 
     fn freeze_engine(&mut self, engine: usize, time: Duration) -> &'static str {
-        if self.engines_away[engine] {
+        if self.engines_unavailable[engine] {
             return "none";
         }
-        self.engines_away[engine] = true;
+        self.engines_unavailable[engine] = true;
         self.engines[engine].signal("STOP");
-        self.heal_at(time, Heal::WakeEngine(engine));
+        self.schedule_heal(time, Heal::ResumeEngine(engine));
         "engine frozen"
     }
 
-    fn trouble_upstream(&mut self, run: &Run, place: usize, time: Duration) -> &'static str {
-        if place < SERVICES {
-            let switch = ["break_before_run", "break_after_run"][place % 2];
+    fn degrade_upstream(&mut self, run: &Run, target: usize, time: Duration) -> &'static str {
+        if target < SERVICES {
+            let switch = ["break_before_run", "break_after_run"][target % 2];
             run.fleet
-                .service(place)
+                .service_client(target)
                 .post("/control", &json!({switch: true}));
-            self.heal_at(time, Heal::Service(place));
+            self.schedule_heal(time, Heal::RestoreService(target));
             return "service breaks";
         }
-        if self.engines_away[place] {
+        if self.engines_unavailable[target] {
             return "none";
         }
         let control =
             json!({"slow_factor": 10.0, "nonsense_load": true, "drop_cache_events": true});
-        run.fleet.engine(place).post("/control", &control);
-        self.heal_at(time, Heal::Engine(place));
-        "engine slow and lying"
+        run.fleet.engine_client(target).post("/control", &control);
+        self.schedule_heal(time, Heal::RestoreEngine(target));
+        "engine slow with false load reports"
     }
 
-    /// Heals what is due.
-    fn heal_due(&mut self, run: &Run, now: Instant) {
-        let (due, later): (Vec<_>, Vec<_>) = self.healing.drain(..).partition(|(at, _)| *at <= now);
-        self.healing = later;
+    /// Heals the faults whose duration has passed.
+    fn heal_expired(&mut self, run: &Run, now: Instant) {
+        let (due, later): (Vec<_>, Vec<_>) =
+            self.pending_heals.drain(..).partition(|(at, _)| *at <= now);
+        self.pending_heals = later;
         for (_, heal) in due {
             self.heal_one(run, heal);
         }
     }
 
-    /// Heals everything.
-    pub fn heal(&mut self, run: &Run) {
-        for (_, heal) in std::mem::take(&mut self.healing) {
+    /// Heals all faults.
+    pub fn heal_all(&mut self, run: &Run) {
+        for (_, heal) in std::mem::take(&mut self.pending_heals) {
             self.heal_one(run, heal);
         }
         if self.leaving.is_some() {
@@ -320,51 +342,51 @@
             Heal::StartDaemon(daemon) => self.start_daemon(run, daemon),
             Heal::AwaitStop(daemon) => {
                 let code = self.daemons[daemon].exit_code();
-                assert_eq!(code, Some(0), "entry-{daemon} stops as planned");
+                assert_eq!(code, Some(0), "entry-{daemon} shuts down gracefully");
                 self.start_daemon(run, daemon);
             }
-            Heal::WakeDaemon(daemon) => {
+            Heal::ResumeDaemon(daemon) => {
                 self.daemons[daemon].signal("CONT");
-                run.disturbed[daemon].fetch_add(1, Ordering::SeqCst);
-                self.away[daemon] = false;
+                run.disturbances[daemon].fetch_add(1, Ordering::SeqCst);
+                self.daemons_unavailable[daemon] = false;
             }
-            Heal::Link(one, other) => fleet.links().set(one, other, Mode::Pass),
-            Heal::Platform(zone) => {
+            Heal::RestoreLink(one, other) => fleet.links().set_mode(one, other, LinkMode::Forward),
+            Heal::RestorePlatform(zone) => {
                 let control = json!({"stale": false, "down": false, "hang_watches": false});
-                fleet.platform(zone).post("/control", &control);
+                fleet.platform_client(zone).post("/control", &control);
             }
             Heal::StartEngine(engine) => {
                 self.engines[engine].kill();
                 self.engines[engine] = fleet.start_engine(engine);
-                self.engines_away[engine] = false;
+                self.engines_unavailable[engine] = false;
             }
-            Heal::WakeEngine(engine) => {
+            Heal::ResumeEngine(engine) => {
                 self.engines[engine].signal("CONT");
-                self.engines_away[engine] = false;
+                self.engines_unavailable[engine] = false;
             }
-            Heal::Engine(engine) => {
+            Heal::RestoreEngine(engine) => {
                 let control =
                     json!({"slow_factor": 1.0, "nonsense_load": false, "drop_cache_events": false});
-                fleet.engine(engine).post("/control", &control);
+                fleet.engine_client(engine).post("/control", &control);
             }
-            Heal::Service(service) => {
+            Heal::RestoreService(service) => {
                 let control = json!({"break_before_run": false, "break_after_run": false});
-                fleet.service(service).post("/control", &control);
+                fleet.service_client(service).post("/control", &control);
             }
         }
     }
 
     fn start_daemon(&mut self, run: &Run, daemon: usize) {
         self.daemons[daemon] = run.fleet.start_daemon(daemon);
-        run.disturbed[daemon].fetch_add(1, Ordering::SeqCst);
-        self.away[daemon] = false;
+        run.disturbances[daemon].fetch_add(1, Ordering::SeqCst);
+        self.daemons_unavailable[daemon] = false;
     }
 
-    /// Sees to it that no daemon ended by itself.
+    /// Asserts that no daemon exited by itself.
     pub fn check_daemons(&mut self) {
         for (daemon, process) in self.daemons.iter_mut().enumerate() {
-            let ended = !self.away[daemon] && process.has_ended();
-            assert!(!ended, "entry-{daemon} ended by itself");
+            let exited = !self.daemons_unavailable[daemon] && process.has_ended();
+            assert!(!exited, "entry-{daemon} exited by itself");
         }
     }
 }
--- a/tests/processes/soak/load.rs
+++ b/tests/processes/soak/load.rs
@@ -1,4 +1,4 @@
-//! What callers send, and the check of what they get.
+//! The load of a soak run, and the checks of its answers.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -10,44 +10,48 @@
 use serde_json::{Value, json};
 
 use super::{DAEMONS, Run};
-use crate::caller::Answer;
+use crate::client::Answer;
 use crate::fleet::unix_ms;
-use crate::requests::{COMPLETIONS, answer_text, question};
+use crate::requests::{COMPLETIONS, answer_text, completion_body};
 
-/// Lateness that a busy machine may add to a class's time.
-const SLACK: Duration = Duration::from_secs(8);
+/// Delay that a busy machine may add to the time limit of a class.
+const SCHEDULING_SLACK: Duration = Duration::from_secs(8);
 
 const DIAGNOSIS_LIMIT: Duration = Duration::from_secs(8);
 const REVIEW_LIMIT: Duration = Duration::from_secs(15);
 
-/// What was told of one key.
+/// Outcomes reported to the callers of one idempotency key.
 #[derive(Debug, Default, Clone)]
-pub struct Told {
+pub struct KeyOutcomes {
     pub answered: bool,
     pub not_run: bool,
     pub unknown: bool,
 }
 
-/// Answers by how they ended, and orders by key.
+/// Number of answers by how they ended, and outcomes of orders by key.
 #[derive(Debug, Default)]
-pub struct Tally {
-    ends: BTreeMap<String, u64>,
+pub struct Results {
+    outcomes: BTreeMap<String, u64>,
     longest: Duration,
-    pub keys: BTreeMap<String, Told>,
+    pub keys: BTreeMap<String, KeyOutcomes>,
 }
 
-impl Tally {
-    /// A line for the run's record.
+impl Results {
+    /// One line that summarises the run.
     pub fn report(&self) -> String {
-        let answered = self.keys.values().filter(|told| told.answered).count();
+        let answered = self
+            .keys
+            .values()
+            .filter(|outcomes| outcomes.answered)
+            .count();
         let keys = self.keys.len();
-        let (ends, longest) = (&self.ends, self.longest);
-        format!("answers {ends:?}, longest {longest:?}; {answered} of {keys} orders answered")
+        let (outcomes, longest) = (&self.outcomes, self.longest);
+        format!("answers {outcomes:?}, longest {longest:?}; {answered} of {keys} orders answered")
     }
 }
 
-/// One caller of answers.
-pub fn ask(run: &Run, nth: u64) {
+/// Runs one caller that sends completion requests.
+pub fn run_completion_caller(run: &Run, nth: u64) {
     let mut random = StdRng::seed_from_u64(run.seed ^ (nth + 1) << 32);
     for round in 0_u64.. {
         if run.done.load(Ordering::Relaxed) {
@@ -57,24 +61,27 @@
         let body = body(&mut random, &format!("{nth}-{round}"), is_long);
         let daemon = random.random_range(0..DAEMONS);
         let class = if is_long { "review" } else { "diagnosis" };
-        let caller = run.fleet.caller(daemon).with("mangofront-class", class);
-        let leaves = random.random_ratio(1, 8);
-        let sent = Sent::now(run, daemon);
-        let answer = if leaves {
-            caller.leave_after(3, COMPLETIONS, &body)
+        let caller = run
+            .fleet
+            .caller_client(daemon)
+            .with_header("mangofront-class", class);
+        let disconnects = random.random_ratio(1, 8);
+        let request = SentRequest::now(run, daemon);
+        let answer = if disconnects {
+            caller.disconnect_after(3, COMPLETIONS, &body)
         } else {
             caller.post(COMPLETIONS, &body)
         };
         let expected = answer_text(&body);
-        let own = expected.starts_with(&answer.text());
-        assert!(own, "a piece of another answer: {answer:?}");
+        let is_prefix = expected.starts_with(&answer.text());
+        assert!(is_prefix, "text of another answer: {answer:?}");
         assert!(!answer.is_complete() || answer.text() == expected);
         let limit = if is_long {
             REVIEW_LIMIT
         } else {
             DIAGNOSIS_LIMIT
         };
-        sent.check(run, &answer, limit, leaves);
+        request.check(run, &answer, limit, disconnects);
         pause_after(&answer);
     }
 }
@@ -85,13 +92,14 @@
     } else {
         random.random_range(0..400)
     };
-    let mut body = question(name, random.random_range(1..60), random.random());
+    let mut body = completion_body(name, random.random_range(1..60), random.random());
     body["prompt"] = json!(format!("{name} {}", "history ".repeat(words)));
     body
 }
 
-/// One caller of orders; most keys are sent more than once, some at once.
-pub fn order(run: &Run, nth: u64) {
+/// Runs one caller that sends orders. Most keys are sent more than once, some of them
+/// concurrently.
+pub fn run_order_caller(run: &Run, nth: u64) {
     let mut random = StdRng::seed_from_u64(run.seed ^ (nth + 1) << 48);
     for round in 0_u64.. {
         if run.done.load(Ordering::Relaxed) {
@@ -114,7 +122,8 @@
     }
 }
 
-/// A plain key, a time-stamped one, or one that a daemon mints.
+/// Returns an idempotency key: one without a time, one with a timestamp, or one that a daemon
+/// issues.
 fn key(run: &Run, random: &mut StdRng, name: &str) -> Option<String> {
     match random.random_range(0..3) {
         0 => Some(format!("plain-{name}")),
@@ -127,81 +136,89 @@
         _ => {
             let daemon = random.random_range(0..DAEMONS);
             let path = "/v1/idempotency-keys";
-            let minted = run.fleet.caller(daemon).post(path, &json!({})).json();
+            let minted = run
+                .fleet
+                .caller_client(daemon)
+                .post(path, &json!({}))
+                .json();
             minted["key"].as_str().map(str::to_owned)
         }
     }
 }
 
 fn send_order(run: &Run, daemon: usize, key: &str) {
-    let sent = Sent::now(run, daemon);
+    let request = SentRequest::now(run, daemon);
     let answer = run.fleet.order(daemon, key);
     if answer.status == 200 {
         assert_eq!(answer.json()["executions"], 1, "{key}: {answer:?}");
     }
     let outcome = answer.outcome();
-    let mut tally = run.tally.lock().expect("no holder panics");
-    let told = tally.keys.entry(key.to_owned()).or_default();
-    told.answered |= answer.status == 200;
-    told.not_run |= outcome.as_deref() == Some("not_run");
-    // An answer that broke off says nothing of its order.
-    told.unknown |=
+    let mut results = run.results.lock().expect("no holder panics");
+    let outcomes = results.keys.entry(key.to_owned()).or_default();
+    outcomes.answered |= answer.status == 200;
+    outcomes.not_run |= outcome.as_deref() == Some("not_run");
+    // After an incomplete answer the order's outcome is unknown.
+    outcomes.unknown |=
         answer.connected && answer.status != 200 && outcome.as_deref() != Some("not_run");
-    drop(tally);
-    sent.check(run, &answer, DIAGNOSIS_LIMIT, false);
+    drop(results);
+    request.check(run, &answer, DIAGNOSIS_LIMIT, false);
     pause_after(&answer);
 }
 
-/// When and where a request was sent.
-struct Sent {
+/// When and to which daemon a request was sent, with that daemon's fault counters at the time.
+struct SentRequest {
     at: Instant,
     daemon: usize,
-    disturbed: u64,
-    killed: u64,
+    disturbances: u64,
+    kills: u64,
 }
 
-impl Sent {
+impl SentRequest {
     fn now(run: &Run, daemon: usize) -> Self {
         Self {
             at: Instant::now(),
             daemon,
-            disturbed: run.disturbed[daemon].load(Ordering::SeqCst),
-            killed: run.killed[daemon].load(Ordering::SeqCst),
+            disturbances: run.disturbances[daemon].load(Ordering::SeqCst),
+            kills: run.kills[daemon].load(Ordering::SeqCst),
         }
     }
 
-    /// Checks how the request ended: in its class's time, and with an answer
-    /// unless its daemon was killed.
-    fn check(&self, run: &Run, answer: &Answer, limit: Duration, leaves: bool) {
-        let took = self.at.elapsed();
-        let calm = run.disturbed[self.daemon].load(Ordering::SeqCst) == self.disturbed;
-        let being_killed = self.killed % 2 == 1;
-        let killed = being_killed || run.killed[self.daemon].load(Ordering::SeqCst) != self.killed;
-        let in_time = !calm || took < limit + SLACK;
-        assert!(in_time, "entry-{} took {took:?}: {answer:?}", self.daemon);
+    /// Asserts that the request ended within the time limit of its class, unless its daemon was
+    /// disturbed, and with an answer, unless its daemon was killed.
+    fn check(&self, run: &Run, answer: &Answer, limit: Duration, disconnects: bool) {
+        let elapsed = self.at.elapsed();
+        let undisturbed = run.disturbances[self.daemon].load(Ordering::SeqCst) == self.disturbances;
+        let being_killed = self.kills % 2 == 1;
+        let killed = being_killed || run.kills[self.daemon].load(Ordering::SeqCst) != self.kills;
+        let in_time = !undisturbed || elapsed < limit + SCHEDULING_SLACK;
+        assert!(
+            in_time,
+            "entry-{} took {elapsed:?}: {answer:?}",
+            self.daemon
+        );
         let error = answer.outcome();
-        let ended = answer.is_complete() || error.is_some() || leaves || !answer.connected;
+        let ended = answer.is_complete() || error.is_some() || disconnects || !answer.connected;
         assert!(
             ended || killed,
-            "entry-{} broke off after {took:?}, calm {calm}: {answer:?}",
+            "entry-{} ended the answer early after {elapsed:?}, undisturbed {undisturbed}: {answer:?}",
             self.daemon
         );
         let end = match error {
             _ if !answer.connected => "not connected".to_owned(),
             Some(outcome) => outcome,
             None if answer.is_complete() => "answered".to_owned(),
-            None if leaves => "left".to_owned(),
+            None if disconnects => "caller disconnected".to_owned(),
             None => "daemon killed".to_owned(),
         };
-        let mut tally = run.tally.lock().expect("no holder panics");
-        *tally.ends.entry(end).or_default() += 1;
-        if calm {
-            tally.longest = tally.longest.max(took);
+        let mut results = run.results.lock().expect("no holder panics");
+        *results.outcomes.entry(end).or_default() += 1;
+        if undisturbed {
+            results.longest = results.longest.max(elapsed);
         }
     }
 }
 
-/// A caller that was refused does not come back at once.
+/// Pauses after a failed request, so that callers don't retry in a tight loop.
 fn pause_after(answer: &Answer) {
     if answer.status != 200 {
         thread::sleep(Duration::from_millis(50));
--- a/tests/processes/stop.rs
+++ b/tests/processes/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of a daemon cuts off nothing.
+//! A graceful shutdown of a daemon aborts no request.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
@@ -6,56 +6,57 @@
 
 use serde_json::json;
 
-use crate::caller::Answer;
-use crate::fleet::{EndsLoad, Fleet, PATIENCE, Plan, wait_until};
+use crate::client::Answer;
+use crate::fleet::{CONDITION_TIMEOUT, Fleet, FleetSpec, StopLoadOnDrop, wait_until};
 use crate::link::ZONES;
-use crate::requests::{COMPLETIONS, answer_text, question};
+use crate::requests::{COMPLETIONS, answer_text, completion_body};
 
 #[test]
 fn a_stream_in_progress_is_finished() {
-    let mut plan = Plan::default();
-    for engine in &mut plan.engines {
-        // Slow enough that the signal comes in mid-stream.
+    let mut spec = FleetSpec::default();
+    for engine in &mut spec.engines {
+        // Slow enough for the signal to arrive during the stream.
         engine["time_scale"] = json!(0.5);
     }
-    let mut fleet = Fleet::start(plan);
+    let mut fleet = Fleet::start(spec);
     let body = json!({"model": "assist-llm", "prompt": "Which toner fits copier 12?",
         "max_tokens": 60, "stream": true});
-    let caller = fleet.caller(0);
-    let reading = thread::spawn(move || caller.post("/v1/completions", &body));
+    let caller = fleet.caller_client(0);
+    let request = thread::spawn(move || caller.post("/v1/completions", &body));
     wait_until("the answer has begun", || {
-        let status = fleet.operator(0).get("/status").json();
+        let status = fleet.admin_client(0).get("/status").json();
         status["daemon"]["requests_in_progress"] == 1
     });
     fleet.daemons[0].signal("TERM");
     wait_until("new work is refused", || {
-        let refused = fleet.caller(0).get("/v1/models");
+        let refused = fleet.caller_client(0).get("/v1/models");
         let closes = refused
             .headers
             .contains(&("connection".to_owned(), "close".to_owned()));
         refused.status == 503 && refused.json()["error"]["code"] == "stopping" && closes
     });
-    let answer = reading.join().expect("the reader ends");
-    assert!(answer.whole);
+    let answer = request.join().expect("the reader ends");
+    assert!(answer.body_complete);
     assert!(answer.body.ends_with("data: [DONE]\n\n"));
     assert_eq!(fleet.daemons[0].exit_code(), Some(0));
 }
 
 #[test]
-fn requests_that_wait_at_the_stop_are_answered() {
-    let mut fleet = Fleet::start(Plan::default());
+fn requests_queued_before_the_stop_are_answered() {
+    let mut fleet = Fleet::start(FleetSpec::default());
     fleet.daemons[0].signal("STOP");
-    let body = question("waits", 5, false);
+    let body = completion_body("waits", 5, false);
     let answers: Vec<Answer> = thread::scope(|scope| {
-        let asking = (0..20).map(|_| scope.spawn(|| fleet.caller(0).post(COMPLETIONS, &body)));
-        let asking: Vec<_> = asking.collect();
-        // The kernel takes the connections and the requests meanwhile.
+        let requests =
+            (0..20).map(|_| scope.spawn(|| fleet.caller_client(0).post(COMPLETIONS, &body)));
+        let requests: Vec<_> = requests.collect();
+        // The kernel accepts the connections and buffers the requests meanwhile.
         thread::sleep(Duration::from_millis(500));
         fleet.daemons[0].signal("TERM");
         fleet.daemons[0].signal("CONT");
-        asking
+        requests
             .into_iter()
-            .map(|one| one.join().expect("an answer"))
+            .map(|request| request.join().expect("the request thread ends"))
             .collect()
     });
     for answer in &answers {
@@ -65,8 +66,8 @@
     assert_eq!(fleet.daemons[0].exit_code(), Some(0));
 }
 
-/// Sends to one daemon after the other until one takes the work.
-fn send_anywhere(first: usize, send: impl Fn(usize) -> Answer) -> Answer {
+/// Tries one daemon after the other until one doesn't refuse the request because it is stopping.
+fn send_with_failover(first: usize, send: impl Fn(usize) -> Answer) -> Answer {
     let started = Instant::now();
     for daemon in first.. {
         let answer = send(daemon % ZONES);
@@ -74,19 +75,23 @@
         if answer.connected && !is_stopping {
             return answer;
         }
-        assert!(started.elapsed() < PATIENCE, "no daemon takes the work");
+        assert!(
+            started.elapsed() < CONDITION_TIMEOUT,
+            "no daemon accepted the request"
+        );
         thread::sleep(Duration::from_millis(5));
     }
-    unreachable!("daemons are asked without end")
+    unreachable!("the loop over daemons has no end")
 }
 
-/// Sends requests until told to stop; each is answered whole.
-fn ask_until(fleet: &Fleet, nth: usize, done: &AtomicBool) -> usize {
+/// Sends requests until `done` is set and checks that each answer is complete. Returns their
+/// number.
+fn send_requests_until(fleet: &Fleet, nth: usize, done: &AtomicBool) -> usize {
     let mut answered = 0;
     while !done.load(Ordering::Relaxed) {
-        let body = question(&format!("{nth}-{answered}"), 30, answered % 2 == 0);
-        let answer = send_anywhere(nth + answered, |daemon| {
-            fleet.caller(daemon).post(COMPLETIONS, &body)
+        let body = completion_body(&format!("{nth}-{answered}"), 30, answered % 2 == 0);
+        let answer = send_with_failover(nth + answered, |daemon| {
+            fleet.caller_client(daemon).post(COMPLETIONS, &body)
         });
         assert!(answer.is_complete(), "{answer:?}");
         assert_eq!(answer.text(), answer_text(&body));
@@ -95,15 +100,16 @@
     answered
 }
 
-/// Sends orders until told to stop; the keys of all.
-fn order_until(fleet: &Fleet, done: &AtomicBool) -> Vec<String> {
+/// Sends orders until `done` is set. Returns their idempotency keys.
+fn send_orders_until(fleet: &Fleet, done: &AtomicBool) -> Vec<String> {
     let mut keys = Vec::new();
     while !done.load(Ordering::Relaxed) {
         let key = format!("rolling-{}", keys.len());
         let first = keys.len();
         wait_until("the order is answered", || {
-            let answer = send_anywhere(first, |daemon| fleet.order(daemon, &key));
-            // A fresh voter that learns leaves a moment without a majority.
+            let answer = send_with_failover(first, |daemon| fleet.order(daemon, &key));
+            // There is no majority for a moment, while a restarted voter still reads the
+            // records of the others.
             answer.status == 200
         });
         keys.push(key);
@@ -113,22 +119,22 @@
 
 #[test]
 fn every_daemon_is_replaced_under_load() {
-    let mut plan = Plan::zones(ZONES);
-    plan.apart = false;
-    for engine in &mut plan.engines {
+    let mut spec = FleetSpec::zones(ZONES);
+    spec.isolated_zones = false;
+    for engine in &mut spec.engines {
         engine["time_scale"] = json!(2.0);
     }
-    let mut fleet = Fleet::start(plan);
+    let mut fleet = Fleet::start(spec);
     fleet.wait_until_orders_run();
     let mut daemons = std::mem::take(&mut fleet.daemons);
     let done = AtomicBool::new(false);
     let keys = thread::scope(|scope| {
         let (fleet, done) = (&fleet, &done);
-        let ending = EndsLoad(done);
-        let asking: Vec<_> = (0..6)
-            .map(|nth| scope.spawn(move || ask_until(fleet, nth, done)))
+        let stop_load = StopLoadOnDrop(done);
+        let requests: Vec<_> = (0..6)
+            .map(|nth| scope.spawn(move || send_requests_until(fleet, nth, done)))
             .collect();
-        let ordering = scope.spawn(move || order_until(fleet, done));
+        let ordering = scope.spawn(move || send_orders_until(fleet, done));
         for (index, daemon) in daemons.iter_mut().enumerate() {
             daemon.signal("TERM");
             assert_eq!(daemon.exit_code(), Some(0));
@@ -136,14 +142,14 @@
             fleet.wait_until_serving(index);
             fleet.wait_until_order_runs(index);
         }
-        drop(ending);
-        for one in asking {
-            assert!(one.join().expect("requests are answered") > 0);
+        drop(stop_load);
+        for thread in requests {
+            assert!(thread.join().expect("requests are answered") > 0);
         }
         ordering.join().expect("orders are answered")
     });
     fleet.daemons = daemons;
-    let runs = fleet.runs();
+    let runs = fleet.executions_by_key();
     for (nth, key) in keys.iter().enumerate() {
         assert_eq!(fleet.order(nth % ZONES, key).status, 200, "{key}");
         assert_eq!(runs.get(key), Some(&1), "{key}");
