--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -121,7 +121,7 @@
             Err(error) => {
                 // Log a persistent fault only once.
                 if !std::mem::replace(&mut is_failing, true) {
-                    log::warn!("http: can't accept connections: {error}");
+                    log::warn!("http: connections can't be accepted: {error}");
                 }
                 compio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
