--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,26 +1,27 @@
-//! The batch: which sequences wait, which run, and what the next step does.
+//! Continuous batching: which sequences wait, which run, and the work of the
+//! next step.
 //!
 //! Urgent sequences start and prefill first. A long prompt is prefilled chunk
-//! by chunk and yields to a more urgent one between chunks. When memory is
-//! short for an urgent sequence, less urgent ones give theirs up and wait
-//! again; their prefix blocks stay cached as long as there is room.
+//! by chunk, and a more urgent one can go first between chunks. When an urgent
+//! sequence lacks memory, less urgent ones are preempted and wait again; their
+//! prefix blocks stay cached as long as there is room.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-use super::memory::{BLOCK, KvMemory};
+use super::memory::{KvMemory, TOKENS_PER_BLOCK};
 use super::output::Output;
 use super::sequence::{Memory, Rank, Sequence};
 use super::settings::StepSettings;
 
-/// Work of one step.
+/// Work of one forward pass.
 #[derive(Debug, Default)]
 pub(crate) struct Step {
-    /// Sequences that yield one token.
+    /// Sequences that decode one token.
     pub(crate) decodes: Vec<Rank>,
-    /// Sequences that prefill, and how many tokens.
+    /// Sequences that prefill, with their number of tokens.
     pub(crate) prefills: Vec<(Rank, u64)>,
-    /// Duration at full speed, in microseconds.
+    /// Duration at a time scale and slow factor of 1, in microseconds.
     pub(crate) cost_us: f64,
 }
 
@@ -34,9 +35,9 @@
     }
 }
 
-/// Sequences and the memory that they share.
+/// Sequences and the memory they share.
 ///
-/// Invariant: a rank stands in at most one of `waiting` and `running`.
+/// Invariant: a rank is in at most one of `waiting` and `running`.
 #[derive(Debug)]
 pub(crate) struct Batch {
     pub(crate) memory: KvMemory,
@@ -57,12 +58,12 @@
         }
     }
 
-    /// Every sequence, waiting or running.
+    /// Returns all sequences, waiting and running.
     pub(crate) fn sequences(&self) -> impl Iterator<Item = &Sequence> {
         self.running.values().chain(self.waiting.values())
     }
 
-    /// Takes a sequence out and gives its memory back.
+    /// Removes a sequence and frees its memory.
     pub(crate) fn remove(&mut self, rank: Rank) -> Option<Sequence> {
         if let Some(sequence) = self.waiting.remove(&rank) {
             return Some(sequence);
@@ -72,7 +73,7 @@
         Some(sequence)
     }
 
-    /// Starts what can start and says what the next step does.
+    /// Starts the sequences that fit and returns the work of the next step.
     pub(crate) fn plan(&mut self) -> Step {
         self.start_waiting();
         let mut step = Step::default();
@@ -98,28 +99,29 @@
         step
     }
 
-    /// Adds computed tokens to a sequence and shares its whole blocks.
+    /// Records prefilled tokens and publishes the blocks completed by them.
     ///
-    /// True when its prefill is done. A sequence cancelled during the step is
-    /// not there any more.
-    pub(crate) fn prefilled(&mut self, rank: Rank, tokens: u64) -> bool {
+    /// Returns whether the prefill is complete; false for a sequence that was
+    /// cancelled during the step.
+    pub(crate) fn record_prefill(&mut self, rank: Rank, tokens: u64) -> bool {
         let Some(sequence) = self.running.get_mut(&rank) else {
             return false;
         };
         sequence.prefilled_tokens += tokens;
         if sequence.memory == Memory::Pool {
-            for index in sequence.finished_blocks() {
+            for index in sequence.unpublished_blocks() {
                 self.memory.publish(sequence.blocks[index]);
-                sequence.private_tokens -= BLOCK;
+                sequence.private_tokens -= TOKENS_PER_BLOCK;
                 sequence.pinned_blocks += 1;
             }
         }
         sequence.unfilled_tokens() == 0
     }
 
-    /// Counts one token that a sequence yielded; the next step takes it as
-    /// input. The output, when the sequence is still there.
-    pub(crate) fn decoded(&mut self, rank: Rank) -> Option<Rc<Output>> {
+    /// Records one decoded token, which is input to the next step.
+    ///
+    /// Returns the output, or `None` if the sequence has been removed.
+    pub(crate) fn record_decode(&mut self, rank: Rank) -> Option<Rc<Output>> {
         let sequence = self.running.get_mut(&rank)?;
         sequence.prefilled_tokens += 1;
         let output = &sequence.output;
@@ -133,30 +135,30 @@
     }
 
     fn prefill_cost_us(&self, sequence: &Sequence, chunk_tokens: u64) -> f64 {
-        let middle = sequence.attended_tokens() + chunk_tokens / 2;
-        let token_us =
-            self.step.prefill_token_us + thousands(middle) * self.step.prefill_context_us;
+        let mean_context_tokens = sequence.attended_tokens() + chunk_tokens / 2;
+        let token_us = self.step.prefill_token_us
+            + thousands(mean_context_tokens) * self.step.prefill_context_us;
         chunk_tokens as f64 * token_us
     }
 
     fn start_waiting(&mut self) {
         let ranks: Vec<Rank> = self.waiting.keys().copied().collect();
-        let mut pool_is_short = false;
+        let mut pool_exhausted = false;
         for rank in ranks {
             let from_pool = self.waiting[&rank].memory == Memory::Pool;
-            // What waits for memory is not overtaken by a smaller one that is
-            // less urgent: else a long prompt might never start.
-            if from_pool && pool_is_short {
+            // A smaller, less urgent sequence must not overtake one that waits
+            // for memory, as a long prompt might then never start.
+            if from_pool && pool_exhausted {
                 continue;
             }
-            if self.running.len() >= self.max_running && !self.give_up_place(rank) {
+            if self.running.len() >= self.max_running && !self.preempt_for_slot(rank) {
                 return;
             }
             let Some(mut sequence) = self.waiting.remove(&rank) else {
                 continue;
             };
             if from_pool && !self.claim(&mut sequence) {
-                pool_is_short = true;
+                pool_exhausted = true;
                 self.waiting.insert(rank, sequence);
                 continue;
             }
@@ -165,18 +167,18 @@
     }
 
     fn claim(&mut self, sequence: &mut Sequence) -> bool {
-        let matching = self.memory.matching(&sequence.blocks);
-        self.memory.pin(&sequence.blocks[..matching]);
-        let cached_tokens = matching as u64 * BLOCK;
+        let matching_blocks = self.memory.matching_prefix(&sequence.blocks);
+        self.memory.pin(&sequence.blocks[..matching_blocks]);
+        let cached_tokens = matching_blocks as u64 * TOKENS_PER_BLOCK;
         let private_tokens = sequence.size_tokens().saturating_sub(cached_tokens);
         if !self.claim_or_preempt(sequence.rank, private_tokens) {
-            self.memory.unpin(&sequence.blocks[..matching]);
+            self.memory.unpin(&sequence.blocks[..matching_blocks]);
             return false;
         }
-        sequence.pinned_blocks = matching;
+        sequence.pinned_blocks = matching_blocks;
         sequence.private_tokens = private_tokens;
-        // The last token is always computed: the first one of the answer
-        // comes out of it.
+        // The last prompt token is always computed, as its forward pass
+        // produces the first token of the answer.
         sequence.prefilled_tokens = cached_tokens.min(sequence.prefill_tokens() - 1);
         sequence.output.cached_tokens.set(sequence.prefilled_tokens);
         true
@@ -193,8 +195,8 @@
         self.memory.claim(tokens)
     }
 
-    /// Least urgent sequences whose memory makes room for `tokens`, or none
-    /// when even all of a lower priority would not.
+    /// Least urgent sequences whose preemption makes room for `tokens`. Empty
+    /// if preempting all sequences of lower priority would not suffice.
     fn victims(&self, rank: Rank, tokens: u64) -> Vec<Rank> {
         let mut room_tokens = self.memory.available_tokens();
         let mut unpinned = HashMap::new();
@@ -206,7 +208,7 @@
             if sequence.memory != Memory::Pool {
                 continue;
             }
-            // A block that several share comes free with the last of them.
+            // A shared block is freed only with the last sequence that pins it.
             let pinned = &sequence.blocks[..sequence.pinned_blocks];
             room_tokens += sequence.private_tokens;
             room_tokens += self.memory.freed_by_unpinning(pinned, &mut unpinned);
@@ -218,15 +220,15 @@
         victims
     }
 
-    fn give_up_place(&mut self, rank: Rank) -> bool {
+    fn preempt_for_slot(&mut self, rank: Rank) -> bool {
         let Some((&last, _)) = self.running.last_key_value() else {
             return true;
         };
-        let yields = last.priority > rank.priority;
-        if yields {
+        let preempts = last.priority > rank.priority;
+        if preempts {
             self.preempt(last);
         }
-        yields
+        preempts
     }
 
     fn preempt(&mut self, rank: Rank) {
@@ -238,7 +240,7 @@
     }
 
     fn free(&mut self, sequence: &mut Sequence) {
-        // A reservation keeps what was computed under it.
+        // Memory of a reservation stays with the reservation.
         if sequence.memory != Memory::Pool {
             return;
         }
--- a/crates/standin/src/engine/cache_events.rs
+++ b/crates/standin/src/engine/cache_events.rs
@@ -1,4 +1,5 @@
-//! The log of cache events: late, bounded, and with gaps on demand.
+//! Bounded log of cache events, published with a delay and, if a fault is
+//! switched on, with gaps.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -9,20 +10,20 @@
 use super::memory::BlockChanges;
 use super::state::State;
 
-/// Events kept for readers; older ones are a gap to them.
-const LOG_LIMIT: usize = 8192;
+/// Events kept for readers; older ones are lost to them.
+const LOG_CAPACITY_EVENTS: usize = 8192;
 
-/// Whether blocks came or went.
+/// Kind of a cache event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum EventKind {
-    /// Blocks came in.
+    /// Blocks were added.
     Stored,
     /// Blocks were evicted.
     Evicted,
 }
 
-/// One event as it is published.
+/// Event in its published form.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct CacheEvent {
     pub(crate) sequence: u64,
@@ -30,16 +31,16 @@
     pub(crate) blocks: Vec<String>,
 }
 
-/// Events with the time at which each may be seen.
+/// Events with the time at which each becomes visible; `None` is a dropped one.
 ///
-/// Invariant: sequences ascend, and so do the times.
+/// Invariant: sequence numbers and times are in ascending order.
 #[derive(Debug, Default)]
 pub(crate) struct CacheEvents {
     events: VecDeque<(Instant, Option<CacheEvent>)>,
     next_sequence: u64,
 }
 
-/// Events that a reader gets.
+/// Events visible to a reader.
 #[derive(Debug)]
 pub(crate) struct VisibleEvents {
     pub(crate) next_sequence: u64,
@@ -47,24 +48,24 @@
 }
 
 impl CacheEvents {
-    /// Number of the next event.
+    /// Sequence number of the next event.
     pub(crate) fn next_sequence(&self) -> u64 {
         self.next_sequence
     }
 
-    /// Events from number `from` that may be seen by now.
+    /// Returns the events from sequence number `from` that are visible at `now`.
     pub(crate) fn visible(&self, from: u64, now: Instant) -> VisibleEvents {
         let first = self.next_sequence - self.events.len() as u64;
-        let seen = self.events.partition_point(|(at, _)| *at <= now);
-        let known = usize::try_from(from.saturating_sub(first)).unwrap_or(usize::MAX);
-        let events = self.events.iter().take(seen).skip(known);
+        let visible_count = self.events.partition_point(|(at, _)| *at <= now);
+        let already_read = usize::try_from(from.saturating_sub(first)).unwrap_or(usize::MAX);
+        let events = self.events.iter().take(visible_count).skip(already_read);
         VisibleEvents {
-            next_sequence: first + seen as u64,
+            next_sequence: first + visible_count as u64,
             events: events.filter_map(|(_, event)| event.clone()).collect(),
         }
     }
 
-    /// When the first event that is not seen yet may be seen.
+    /// Time at which the next event becomes visible.
     pub(crate) fn next_visible_at(&self, now: Instant) -> Option<Instant> {
         self.events.iter().map(|(at, _)| *at).find(|at| *at > now)
     }
@@ -78,41 +79,41 @@
             blocks: blocks.iter().map(|hash| hex(*hash)).collect(),
         };
         self.events.push_back((at, (!dropped).then_some(event)));
-        if self.events.len() > LOG_LIMIT {
+        if self.events.len() > LOG_CAPACITY_EVENTS {
             self.events.pop_front();
         }
     }
 }
 
 impl State {
-    /// Writes changes of the cache to the log; whether there were any.
+    /// Appends cache changes to the log. Returns whether there were any.
     pub(crate) fn record_cache_changes(&mut self, changes: BlockChanges, now: Instant) -> bool {
         let delay = Duration::from_millis(self.switches.cache_event_delay_ms);
         let dropped = self.switches.drop_cache_events;
         let last = self.cache_events.events.back().map(|(at, _)| *at);
         let at = last.unwrap_or(now).max(now + delay);
-        // Evicted first: a step evicts to make room for what it stores.
+        // Evictions come first, as a step evicts blocks to make room for new ones.
         let kinds = [
             (EventKind::Evicted, changes.evicted),
             (EventKind::Stored, changes.stored),
         ];
-        let mut wrote = false;
+        let mut recorded = false;
         for (kind, blocks) in kinds {
             if !blocks.is_empty() {
                 self.cache_events.push(kind, &blocks, at, dropped);
-                wrote = true;
+                recorded = true;
             }
         }
-        wrote
+        recorded
     }
 }
 
-/// A block's hash as it is published: 16 hex digits.
+/// Formats a block hash as 16 hex digits, its published form.
 pub(crate) fn hex(hash: BlockHash) -> String {
     format!("{hash:016x}")
 }
 
-/// A block's hash read from 16 hex digits.
+/// Parses a block hash of 16 hex digits.
 pub(crate) fn from_hex(text: &str) -> Option<BlockHash> {
     if text.len() != 16 {
         return None;
--- a/crates/standin/src/engine/control.rs
+++ b/crates/standin/src/engine/control.rs
@@ -1,4 +1,4 @@
-//! Switches for faults, and counters that tests read.
+//! Fault injection switches, and counters for tests.
 
 use std::time::Duration;
 
@@ -9,32 +9,32 @@
 use super::settings::EngineSettings;
 use super::state::{Engine, State};
 
-/// Body of `POST /control`; what is unset stays as it is.
+/// Body of `POST /control`; absent fields leave their switches unchanged.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct ControlRequest {
-    /// No step and no answer for this time, in milliseconds.
+    /// Stops stepping and responding for this time, in milliseconds.
     freeze_ms: Option<u64>,
     /// Factor on the duration of each step.
     slow_factor: Option<f64>,
-    /// Dies once this many further tokens were generated.
+    /// Crashes after generating this many further tokens.
     die_after_tokens: Option<u64>,
-    /// Loses cache events while set; their numbers are used up.
+    /// Drops cache events while set, leaving gaps in their sequence numbers.
     drop_cache_events: Option<bool>,
     cache_event_delay_ms: Option<u64>,
     load_lag_ms: Option<u64>,
-    /// Reports loads that cannot be true while set.
+    /// Sends implausible load reports while set.
     nonsense_load: Option<bool>,
     /// Refuses new work while set.
     leaving: Option<bool>,
 }
 
-/// Switches as they stand.
+/// Current state of the switches.
 #[derive(Debug)]
 pub(crate) struct Switches {
     pub(crate) slow_factor: f64,
-    /// Value of the counter of tokens at which the engine dies.
-    pub(crate) die_at_tokens: Option<u64>,
+    /// Value of the token counter at which the engine crashes.
+    pub(crate) crash_at_tokens: Option<u64>,
     pub(crate) drop_cache_events: bool,
     pub(crate) cache_event_delay_ms: u64,
     pub(crate) load_lag_ms: u64,
@@ -46,7 +46,7 @@
     pub(crate) fn new(settings: &EngineSettings) -> Self {
         Self {
             slow_factor: 1.0,
-            die_at_tokens: None,
+            crash_at_tokens: None,
             drop_cache_events: false,
             cache_event_delay_ms: scaled_ms(settings, settings.cache_event_delay_ms),
             load_lag_ms: scaled_ms(settings, settings.load_lag_ms),
@@ -56,7 +56,7 @@
     }
 }
 
-/// What has happened since the start.
+/// Events counted since the engine started.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Counters {
     pub(crate) started: u64,
@@ -94,7 +94,7 @@
 }
 
 impl State {
-    /// Counters and the memory that is held now, cache left out.
+    /// Counters and the memory currently in use, not counting the cache.
     pub(crate) fn counters_report(&self) -> CountersReport {
         let counters = self.counters.clone();
         CountersReport {
@@ -112,14 +112,14 @@
 }
 
 impl Engine {
-    /// Sets the switches that `request` names.
+    /// Applies the switches present in `request`.
     pub(crate) fn control(&self, request: &ControlRequest) {
         self.set_switches(request);
         if let Some(freeze_ms) = request.freeze_ms {
             self.freeze(Duration::from_millis(freeze_ms));
         }
         if request.die_after_tokens == Some(0) {
-            self.die();
+            self.crash();
         }
         self.after_change();
     }
@@ -137,8 +137,8 @@
         set(&mut switches.load_lag_ms, request.load_lag_ms);
         set(&mut switches.nonsense_load, request.nonsense_load);
         set(&mut switches.leaving, request.leaving);
-        if let Some(further) = request.die_after_tokens {
-            switches.die_at_tokens = Some(tokens.saturating_add(further));
+        if let Some(additional_tokens) = request.die_after_tokens {
+            switches.crash_at_tokens = Some(tokens.saturating_add(additional_tokens));
         }
     }
 }
--- a/crates/standin/src/engine/rejection.rs
+++ b/crates/standin/src/engine/error_response.rs
@@ -1,4 +1,4 @@
-//! Error answers of the engine.
+//! Error responses of the engine.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -11,35 +11,35 @@
 use super::refusal::Refusal;
 use super::transfer::TransferError;
 
-/// Time after which a refusal for now may be tried again.
+/// Retry delay sent with temporary refusals.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// One error answer.
+/// Error response of the engine.
 #[derive(Debug)]
-pub(crate) struct Rejection {
+pub(crate) struct ErrorResponse {
     status: StatusCode,
     body: Box<ErrorBody>,
 }
 
-impl Rejection {
+impl ErrorResponse {
     fn new(status: StatusCode, body: ErrorBody) -> Self {
         let body = Box::new(body);
         Self { status, body }
     }
 
-    /// Something that was not understood.
+    /// Request that could not be parsed.
     pub(crate) fn malformed(step: &str, reason: &impl Display) -> Self {
         let body = ErrorBody::new("malformed", Outcome::NotRun, step, reason.to_string());
         Self::new(StatusCode::BAD_REQUEST, body)
     }
 
-    /// Something that is not there.
+    /// Path or stream that does not exist.
     pub(crate) fn unknown(code: &str, step: &str, message: &str) -> Self {
         let body = ErrorBody::new(code, Outcome::NotRun, step, message);
         Self::new(StatusCode::NOT_FOUND, body)
     }
 
-    /// Work that was not taken in.
+    /// Work that was refused.
     pub(crate) fn refused(refusal: &Refusal, step: &str) -> Self {
         let (status, code) = refusal.status_and_code();
         let mut body = ErrorBody::new(code, refusal.outcome(), step, refusal.to_string());
@@ -49,7 +49,7 @@
         Self::new(status, body)
     }
 
-    /// A transfer of KV cache that was not taken in.
+    /// KV cache transfer that was refused.
     pub(crate) fn transfer(error: &TransferError) -> Self {
         let (status, code) = match error {
             TransferError::MalformedBlock(_) => (StatusCode::BAD_REQUEST, "malformed"),
@@ -59,7 +59,7 @@
         Self::new(status, body)
     }
 
-    /// An order that was not taken.
+    /// Order that was refused.
     pub(crate) fn order(error: &OrderError) -> Self {
         let (status, code) = match error {
             OrderError::StaleToken => (StatusCode::CONFLICT, "stale_token"),
@@ -69,7 +69,7 @@
         Self::new(status, body)
     }
 
-    /// A segment that was not computed to its end.
+    /// Segment that ended before it was complete.
     pub(crate) fn segment(end: End) -> Self {
         let message = format!("segment ended early: {}", end.code());
         let body = ErrorBody::new(end.code(), Outcome::Failed, "segment", message);
--- a/crates/standin/src/engine/load.rs
+++ b/crates/standin/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! Load reports: what the engine says of itself, some time late.
+//! Load reports, published with a configurable lag.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -9,10 +9,10 @@
 use super::settings::{EngineRole, EngineSettings};
 use super::state::State;
 
-/// Share of a new observation in a moving average.
+/// Weight of a new observation in the exponential moving averages.
 const AVERAGE_WEIGHT: f64 = 0.1;
 
-/// Snapshots kept over one lag; more changes than that fall together.
+/// Snapshots kept per lag; changes closer together share one snapshot.
 const SNAPSHOTS_PER_LAG: u32 = 32;
 
 /// Whether an engine takes new work.
@@ -21,11 +21,11 @@
 pub(crate) enum EngineState {
     /// Takes new work.
     Live,
-    /// Takes none and will go.
+    /// Takes no new work, as it is about to shut down.
     Leaving,
 }
 
-/// One report.
+/// Load report of the engine.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct LoadReport {
     pub(crate) incarnation: u64,
@@ -33,7 +33,7 @@
     pub(crate) age_ms: u64,
     pub(crate) running: u64,
     pub(crate) waiting: u64,
-    /// Prefill that is left of all sequences, also of those that run.
+    /// Remaining prefill of all sequences, waiting and running.
     pub(crate) waiting_prefill_tokens: u64,
     pub(crate) kv_total_tokens: u64,
     pub(crate) kv_used_tokens: u64,
@@ -43,10 +43,10 @@
     pub(crate) role: EngineRole,
 }
 
-/// Snapshots of the past and the observed rates.
+/// Recent snapshots and the observed rates.
 ///
-/// Invariant: times and sequences of `snapshots` ascend; never empty after the
-/// first change.
+/// Invariant: `snapshots` is in ascending order of time and sequence number, and
+/// not empty after the first change.
 #[derive(Debug)]
 pub(crate) struct LoadReports {
     snapshots: VecDeque<(Instant, LoadReport)>,
@@ -57,7 +57,7 @@
 
 impl LoadReports {
     pub(crate) fn new(settings: &EngineSettings) -> Self {
-        // Before anything was observed, an idle engine's own rates stand.
+        // Until a step is observed, reports carry the rates of an idle engine.
         let step = &settings.step;
         let chunk_tokens = step.prefill_chunk_tokens as f64;
         let step_us = step.base_us + chunk_tokens * step.prefill_token_us;
@@ -70,50 +70,50 @@
         }
     }
 
-    /// Takes in the duration of a step that ran.
-    pub(crate) fn observe_step(&mut self, prefill_tokens: u64, decodes: bool, took: Duration) {
-        let seconds = took.as_secs_f64();
+    /// Updates the observed rates with the duration of a step.
+    pub(crate) fn observe_step(&mut self, prefill_tokens: u64, decodes: bool, elapsed: Duration) {
+        let seconds = elapsed.as_secs_f64();
         if seconds <= 0.0 {
             return;
         }
         if prefill_tokens > 0 {
-            average(
+            update_average(
                 &mut self.prefill_tokens_per_s,
                 prefill_tokens as f64 / seconds,
             );
         }
         if decodes {
-            average(&mut self.decode_step_ms, seconds * 1e3);
+            update_average(&mut self.decode_step_ms, seconds * 1e3);
         }
     }
 }
 
 impl State {
-    /// Takes a snapshot, unless one was taken a moment ago.
+    /// Takes a snapshot, replacing the newest one if that is too recent.
     pub(crate) fn record_load(&mut self, now: Instant) {
         let lag = Duration::from_millis(self.switches.load_lag_ms);
-        let pause = lag / SNAPSHOTS_PER_LAG;
+        let min_interval = lag / SNAPSHOTS_PER_LAG;
         let snapshot = self.load_snapshot();
         let reports = &mut self.load;
         let length = reports.snapshots.len();
-        // The youngest snapshot is brought up to date in place while it is
-        // young, so that the last change before a rest is never lost.
-        let replaces = length >= 2 && now < reports.snapshots[length - 2].0 + pause;
-        if replaces {
+        // A recent snapshot is replaced instead of skipping the new one, so that
+        // the last change before an idle period is not lost.
+        let replaces_newest = length >= 2 && now < reports.snapshots[length - 2].0 + min_interval;
+        if replaces_newest {
             reports.snapshots.pop_back();
         }
         reports.snapshots.push_back((now, snapshot));
         reports.next_sequence += 1;
-        reports.forget_before(now.checked_sub(lag));
+        reports.drop_before(now.checked_sub(lag));
     }
 
-    /// The report of some time ago.
+    /// Returns the report in force one lag ago.
     pub(crate) fn load_report(&mut self, incarnation: u64, now: Instant) -> LoadReport {
         if self.load.snapshots.is_empty() {
             self.record_load(now);
         }
         let lag = Duration::from_millis(self.switches.load_lag_ms);
-        self.load.forget_before(now.checked_sub(lag));
+        self.load.drop_before(now.checked_sub(lag));
         let (at, mut report) = match self.load.snapshots.front() {
             Some((at, report)) => (*at, report.clone()),
             None => (now, self.load_snapshot()),
@@ -122,7 +122,7 @@
         report.incarnation = incarnation;
         report.age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
         if self.switches.nonsense_load {
-            report.make_nonsense();
+            report.make_implausible();
         }
         report
     }
@@ -152,20 +152,20 @@
 }
 
 impl LoadReports {
-    /// Drops snapshots that a younger one had replaced by `moment`.
-    fn forget_before(&mut self, moment: Option<Instant>) {
-        let Some(moment) = moment else {
+    /// Drops snapshots superseded by a newer one at `cutoff`.
+    fn drop_before(&mut self, cutoff: Option<Instant>) {
+        let Some(cutoff) = cutoff else {
             return;
         };
-        while self.snapshots.get(1).is_some_and(|(at, _)| *at <= moment) {
+        while self.snapshots.get(1).is_some_and(|(at, _)| *at <= cutoff) {
             self.snapshots.pop_front();
         }
     }
 }
 
 impl LoadReport {
-    /// Numbers that cannot be true, of the kind that broken engines report.
-    fn make_nonsense(&mut self) {
+    /// Sets impossible values, as a malfunctioning engine might report.
+    fn make_implausible(&mut self) {
         self.running = 0;
         self.waiting = u64::from(u32::MAX);
         self.kv_used_tokens = self.kv_total_tokens.saturating_mul(3);
@@ -174,6 +174,6 @@
     }
 }
 
-fn average(value: &mut f64, observed: f64) {
+fn update_average(value: &mut f64, observed: f64) {
     *value += (observed - *value) * AVERAGE_WEIGHT;
 }
--- a/crates/standin/src/engine/memory.rs
+++ b/crates/standin/src/engine/memory.rs
@@ -1,29 +1,31 @@
 //! KV memory of the emulated engine, counted in tokens.
 //!
-//! Three things hold memory: private tokens of running sequences,
-//! reservations, and prefix blocks. A block that a running sequence builds on
-//! is pinned; the others are cache, evicted least recently used first when
-//! room is wanted.
+//! Memory is divided among private tokens of running sequences, reservations
+//! and prefix blocks. Blocks used by a running sequence are pinned; the others
+//! are cache and evicted in least recently used order when memory is needed.
 
 use std::collections::{BTreeMap, HashMap};
 
 use mangofront_prompt::{BLOCK_TOKENS, BlockHash};
 
-pub(crate) const BLOCK: u64 = BLOCK_TOKENS as u64;
+/// Size of a block, in tokens.
+pub(crate) const TOKENS_PER_BLOCK: u64 = BLOCK_TOKENS as u64;
 
-/// Changes of the set of blocks since they were last taken.
+/// Changes to the set of blocks since the last call of
+/// [`KvMemory::take_changes`].
 #[derive(Debug, Default)]
 pub(crate) struct BlockChanges {
-    /// Blocks that came in.
+    /// Blocks that were added.
     pub(crate) stored: Vec<BlockHash>,
     /// Blocks that were evicted.
     pub(crate) evicted: Vec<BlockHash>,
 }
 
-/// Memory and what holds it.
+/// KV memory and its use.
 ///
-/// Invariant: `private + reserved + blocks.len() * BLOCK <= total`, and `idle`
-/// holds exactly the blocks without pins, each under its own stamp.
+/// Invariant: `private + reserved + blocks.len() * TOKENS_PER_BLOCK <= total`,
+/// and `idle` holds exactly the blocks without pins, keyed by their unique
+/// stamps.
 #[derive(Debug)]
 pub(crate) struct KvMemory {
     total_tokens: u64,
@@ -65,31 +67,31 @@
     /// Tokens that running sequences hold, pinned blocks included.
     pub(crate) fn used_tokens(&self) -> u64 {
         let pinned = self.blocks.len() - self.idle.len();
-        self.private_tokens + pinned as u64 * BLOCK
+        self.private_tokens + pinned as u64 * TOKENS_PER_BLOCK
     }
 
-    /// Tokens that a newcomer could get, by eviction if need be.
+    /// Tokens available to a new sequence, evicting cache if needed.
     pub(crate) fn available_tokens(&self) -> u64 {
         let held = self.used_tokens() + self.reserved_tokens;
         self.total_tokens.saturating_sub(held)
     }
 
     /// Whether the invariant of this type holds.
-    pub(crate) fn is_sound(&self) -> bool {
-        let cached = self.idle.len() as u64 * BLOCK;
+    pub(crate) fn is_consistent(&self) -> bool {
+        let cached = self.idle.len() as u64 * TOKENS_PER_BLOCK;
         let held = self.used_tokens() + self.reserved_tokens + cached;
         held <= self.total_tokens && self.idle.len() <= self.blocks.len()
     }
 
     /// Number of leading `blocks` that are present.
-    pub(crate) fn matching(&self, blocks: &[BlockHash]) -> usize {
+    pub(crate) fn matching_prefix(&self, blocks: &[BlockHash]) -> usize {
         blocks
             .iter()
             .take_while(|hash| self.blocks.contains_key(hash))
             .count()
     }
 
-    /// Takes private tokens, or leaves everything as it is.
+    /// Claims private tokens. Returns false, with no change, if there is no room.
     pub(crate) fn claim(&mut self, tokens: u64) -> bool {
         let claimed = self.make_room(tokens);
         if claimed {
@@ -98,12 +100,13 @@
         claimed
     }
 
-    /// Gives private tokens back.
+    /// Frees private tokens.
     pub(crate) fn release(&mut self, tokens: u64) {
         self.private_tokens -= tokens;
     }
 
-    /// Takes tokens for a reservation, or leaves everything as it is.
+    /// Claims tokens for a reservation. Returns false, with no change, if there
+    /// is no room.
     pub(crate) fn reserve(&mut self, tokens: u64) -> bool {
         let reserved = self.make_room(tokens);
         if reserved {
@@ -112,12 +115,12 @@
         reserved
     }
 
-    /// Gives a reservation's tokens back.
+    /// Frees the tokens of a reservation.
     pub(crate) fn unreserve(&mut self, tokens: u64) {
         self.reserved_tokens -= tokens;
     }
 
-    /// Keeps present `blocks` from eviction.
+    /// Protects those of `blocks` that are present from eviction.
     pub(crate) fn pin(&mut self, blocks: &[BlockHash]) {
         for hash in blocks {
             if let Some(block) = self.blocks.get_mut(hash) {
@@ -129,10 +132,10 @@
         }
     }
 
-    /// Lets pinned `blocks` go.
+    /// Removes one pin from each of `blocks`.
     ///
-    /// The last block gets the oldest stamp, so that a prefix outlives what
-    /// was built on it.
+    /// The last block gets the oldest stamp, so that blocks are evicted before
+    /// the prefix they depend on.
     pub(crate) fn unpin(&mut self, blocks: &[BlockHash]) {
         for hash in blocks.iter().rev() {
             let Some(block) = self.blocks.get_mut(hash) else {
@@ -147,8 +150,8 @@
         }
     }
 
-    /// Tokens that come free when pins on `blocks` go, after those counted in
-    /// `unpinned`; adds these pins to it.
+    /// Tokens freed by removing one pin from each of `blocks`, given the removed
+    /// pins counted in `unpinned`; adds the new ones to that count.
     pub(crate) fn freed_by_unpinning(
         &self,
         blocks: &[BlockHash],
@@ -160,15 +163,15 @@
             *count += 1;
             let pins = self.blocks.get(hash).map(|block| block.pins);
             if pins == Some(*count) {
-                freed_tokens += BLOCK;
+                freed_tokens += TOKENS_PER_BLOCK;
             }
         }
         freed_tokens
     }
 
-    /// Turns one block of private tokens into a pinned prefix block.
+    /// Converts one block of private tokens into a pinned prefix block.
     pub(crate) fn publish(&mut self, hash: BlockHash) {
-        self.private_tokens -= BLOCK;
+        self.private_tokens -= TOKENS_PER_BLOCK;
         if self.blocks.contains_key(&hash) {
             self.pin(&[hash]);
             return;
@@ -177,12 +180,12 @@
         self.changes.stored.push(hash);
     }
 
-    /// Brings in a block computed elsewhere; false when there is no room.
+    /// Adds a block computed by another engine. Returns false if there is no room.
     pub(crate) fn import(&mut self, hash: BlockHash) -> bool {
         if self.blocks.contains_key(&hash) {
             return true;
         }
-        if !self.make_room(BLOCK) {
+        if !self.make_room(TOKENS_PER_BLOCK) {
             return false;
         }
         self.blocks.insert(hash, Block { pins: 1, stamp: 0 });
@@ -191,7 +194,7 @@
         true
     }
 
-    /// Evicts every block that no sequence builds on.
+    /// Evicts every block that is not pinned.
     pub(crate) fn clear_cache(&mut self) {
         for hash in std::mem::take(&mut self.idle).into_values() {
             self.blocks.remove(&hash);
@@ -204,14 +207,14 @@
         self.blocks.contains_key(&hash)
     }
 
-    /// Every block that is present, in ascending order.
+    /// Returns the hashes of all present blocks in ascending order.
     pub(crate) fn blocks(&self) -> Vec<BlockHash> {
         let mut blocks: Vec<_> = self.blocks.keys().copied().collect();
         blocks.sort_unstable();
         blocks
     }
 
-    /// Takes the changes since the last call.
+    /// Returns the changes since the last call and resets them.
     pub(crate) fn take_changes(&mut self) -> BlockChanges {
         std::mem::take(&mut self.changes)
     }
@@ -231,7 +234,7 @@
     }
 
     fn free_tokens(&self) -> u64 {
-        let blocks = self.blocks.len() as u64 * BLOCK;
+        let blocks = self.blocks.len() as u64 * TOKENS_PER_BLOCK;
         let held = self.private_tokens + self.reserved_tokens + blocks;
         self.total_tokens.saturating_sub(held)
     }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,7 +1,7 @@
 //! Emulated model engine.
 //!
 //! [`run`] serves the engine's side of `docs/interfaces.md`. One task steps the
-//! batch, one ends what has run out, and each connection has its own. Several
+//! batch, one ends expired work, and each connection has its own task. Several
 //! engines may run in one runtime; each has its own state.
 
 use std::rc::Rc;
@@ -13,13 +13,13 @@
 mod batch;
 mod cache_events;
 mod control;
+mod error_response;
 mod head;
 mod load;
 mod memory;
 mod orders;
 mod output;
 mod refusal;
-mod rejection;
 mod reports;
 mod reservations;
 mod routes;
@@ -38,24 +38,22 @@
 
 /// Serves an emulated engine on `listener`.
 ///
-/// Returns after `shutdown`, once the answers in progress are ended, or at
-/// once when its switch lets it die; then all its connections are cut.
+/// Returns after `shutdown`, once the answers in progress have ended, or
+/// immediately when a crash is requested through `POST /control`, which drops
+/// all connections.
 pub async fn run(listener: TcpListener, settings: EngineSettings, shutdown: Shutdown) {
-    let (engine, death) = Engine::new(settings);
+    let (engine, abort) = Engine::new(settings);
     let tasks = Tasks::start(&engine);
     let handler = move |request, _peer| {
         let answer = routes::answer(Rc::clone(&engine), request);
         async move { Ok(answer.await) }
     };
-    let ends = StopSignals {
-        shutdown,
-        abort: death,
-    };
-    serve_abortable(listener, LIMITS, handler, ends).await;
+    let signals = StopSignals { shutdown, abort };
+    serve_abortable(listener, LIMITS, handler, signals).await;
     drop(tasks);
 }
 
-/// Tasks of an engine; they end when this is dropped.
+/// Background tasks of an engine, cancelled on drop.
 struct Tasks {
     engine: Rc<Engine>,
     _steps: JoinHandle<()>,
@@ -74,7 +72,7 @@
 
 impl Drop for Tasks {
     fn drop(&mut self) {
-        // Dropping a task's handle ends the task.
-        drop(self.engine.loads.take());
+        // Dropping a task's handle cancels the task.
+        drop(self.engine.load_tasks.take());
     }
 }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,8 +1,8 @@
 //! Orders: model, adapter, version and role, with or without fencing.
 //!
-//! An order states a desired state, so repeating one changes nothing. A new
-//! model or version waits until what runs is done, is fetched from the weight
-//! store and loaded; meanwhile new requests are refused as `loading`.
+//! An order is declarative and so idempotent. A new model or version is fetched
+//! from the weight store, loaded, and put in force once all accepted
+//! sequences have ended; until then, new requests are refused as `loading`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 use super::state::Engine;
 use crate::weights::fetch;
 
-/// Pause between looks at a batch that has to run dry, in milliseconds.
-const DRY_PAUSE: Duration = Duration::from_millis(5);
+/// Interval between checks whether the batch has drained.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Fencing token of an order; a later one compares greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
     incarnation: u64,
 }
 
-/// What an order is about.
+/// Property that an order sets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum OrderKind {
@@ -46,7 +46,7 @@
     value: String,
 }
 
-/// One order as the counters tell it.
+/// Order as listed in the counters.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct OrderRecord {
     kind: OrderKind,
@@ -55,17 +55,17 @@
     accepted: bool,
 }
 
-/// Whether what was ordered is in force.
+/// Whether the ordered state is in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum LoadState {
-    /// Still fetched or loaded.
+    /// Being fetched or loaded.
     Loading,
     /// In force.
     Ready,
 }
 
-/// Reason to refuse an order.
+/// Reason for refusing an order.
 #[derive(Debug, Error)]
 pub(crate) enum OrderError {
     #[error("order carries an older token than was seen")]
@@ -86,9 +86,9 @@
     highest_token: Option<FencingToken>,
 }
 
-/// What is in force and what is desired.
+/// State in force and desired state.
 ///
-/// Invariant: `desired` is set exactly while a task loads it.
+/// Invariant: `desired` is set if and only if a task is loading it.
 #[derive(Debug)]
 pub(crate) struct Orders {
     fencing: Fencing,
@@ -119,12 +119,12 @@
         self.role
     }
 
-    /// Whether new requests wait for a model.
+    /// Whether a model or version is being loaded.
     pub(crate) fn is_loading(&self) -> bool {
         self.desired.is_some()
     }
 
-    /// Whether requests for `name` are served: the model or an adapter of it.
+    /// Whether `name` is the model in force or one of its adapters.
     pub(crate) fn serves(&self, name: &str) -> bool {
         self.model == name || self.adapters.iter().any(|adapter| adapter == name)
     }
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// Model and version that will be in force.
+    /// Model and version in force once loading is complete.
     fn target(&self) -> (ModelName, String) {
         let in_force = || (self.model.clone(), self.version.clone());
         self.desired.clone().unwrap_or_else(in_force)
@@ -165,21 +165,21 @@
 }
 
 impl Engine {
-    /// Takes an order, or refuses it and changes nothing.
+    /// Applies an order, or refuses it without any change.
     pub(crate) fn order(
         self: &Rc<Self>,
         kind: OrderKind,
         order: &OrderRequest,
     ) -> Result<LoadState, OrderError> {
-        let verdict = self.admit_order(kind, order);
+        let result = self.admit_order(kind, order);
         let record = OrderRecord {
             kind,
             token: order.token,
             value: order.value.clone(),
-            accepted: verdict.is_ok(),
+            accepted: result.is_ok(),
         };
         self.state.borrow_mut().counters.orders.push(record);
-        verdict?;
+        result?;
         let state = match kind {
             OrderKind::Model => {
                 let (_, version) = self.state.borrow().orders.target();
@@ -221,23 +221,23 @@
                 false => LoadState::Ready,
             };
         }
-        let loads_already = orders.desired.replace(desired).is_some();
-        if !loads_already {
-            let load = compio::runtime::spawn(Rc::clone(self).load_wish());
-            self.loads.borrow_mut().push(load);
+        let already_loading = orders.desired.replace(desired).is_some();
+        if !already_loading {
+            let load = compio::runtime::spawn(Rc::clone(self).load_desired());
+            self.load_tasks.borrow_mut().push(load);
         }
         LoadState::Loading
     }
 
-    /// Loads what is desired, and again when it changed meanwhile.
-    async fn load_wish(self: Rc<Self>) {
+    /// Loads the desired model, starting over if it changes meanwhile.
+    async fn load_desired(self: Rc<Self>) {
         loop {
             let Some((model, version)) = self.state.borrow().orders.desired.clone() else {
                 return;
             };
             self.load_weights(&model, &version).await;
-            while !self.is_dry() {
-                compio::time::sleep(DRY_PAUSE).await;
+            while !self.is_idle() {
+                compio::time::sleep(IDLE_POLL_INTERVAL).await;
             }
             let mut state = self.state.borrow_mut();
             let desired = (model, version);
@@ -245,11 +245,11 @@
                 continue;
             }
             log::info!(
-                "standin engine: model {} version {} is loaded",
+                "standin engine: loaded model {} version {}",
                 desired.0,
                 desired.1
             );
-            // Another model's KV is of no use, nor are its adapters.
+            // KV blocks and adapters are specific to the previous model.
             state.batch.memory.clear_cache();
             state.orders.adapters.clear();
             (state.orders.model, state.orders.version) = desired;
@@ -269,7 +269,7 @@
             orders.loading_adapters.push(adapter.to_owned());
             let load = Rc::clone(self).load_adapter(adapter.to_owned());
             let load = compio::runtime::spawn(load);
-            self.loads.borrow_mut().push(load);
+            self.load_tasks.borrow_mut().push(load);
         }
         LoadState::Loading
     }
@@ -293,7 +293,7 @@
         compio::time::sleep(load_time).await;
     }
 
-    fn is_dry(&self) -> bool {
+    fn is_idle(&self) -> bool {
         self.state.borrow().batch.sequences().next().is_none()
     }
 }
--- a/crates/standin/src/engine/output.rs
+++ b/crates/standin/src/engine/output.rs
@@ -1,7 +1,7 @@
-//! What one piece of work has yielded so far, and who reads it.
+//! Progress of an answer or segment, and its readers.
 //!
-//! The text of an answer follows from its prompt, so an output stores only how
-//! far it has come. However slowly it is read, it takes the same few bytes.
+//! The text of an answer is a function of its prompt, so an output stores only
+//! the number of tokens produced. A slow reader needs no buffer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,30 +9,30 @@
 
 use crate::notify::Notify;
 
-/// Id of a request, given by the daemon.
+/// Id of a request, assigned by the daemon.
 pub(crate) type RequestId = String;
 
 /// Number of an attempt within a request.
 pub(crate) type Attempt = u32;
 
-/// Id of a stream, unique over the lives of all engines.
+/// Id of a stream, unique across engine incarnations.
 pub(crate) type StreamId = String;
 
-/// How a piece of work ended.
+/// Reason for which an answer or segment ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum End {
-    /// Everything was computed.
+    /// All of it was computed.
     Finished,
-    /// Somebody cancelled it, or nobody read it.
+    /// It was cancelled, or had no reader for the resume window.
     Cancelled,
     /// Its deadline passed.
     Deadline,
-    /// The reservation it computed under ran out.
+    /// Its reservation was released or expired.
     ReservationGone,
 }
 
 impl End {
-    /// Stable code for the error body.
+    /// Error code used in response bodies.
     pub(crate) fn code(self) -> &'static str {
         match self {
             Self::Finished => "finished",
@@ -43,7 +43,7 @@
     }
 }
 
-/// Names and sizes of an answer, fixed when it is queued.
+/// Prompt digest and sizes of an answer, fixed when it is queued.
 #[derive(Debug, Clone)]
 pub(crate) struct AnswerPlan {
     pub(crate) digest: u64,
@@ -51,11 +51,11 @@
     pub(crate) max_tokens: u32,
     /// Tokens of the whole answer.
     pub(crate) length_tokens: u32,
-    /// First token that this attempt yields.
+    /// Offset of the first token that this attempt produces.
     pub(crate) start_offset: u32,
 }
 
-/// Progress of one answer or segment, shared by the scheduler and its readers.
+/// Progress of one answer or segment, shared between the scheduler and the readers.
 ///
 /// Invariant: `plan.start_offset <= produced <= plan.length_tokens`, and
 /// neither `produced` nor `cached_tokens` changes once `end` is set.
@@ -67,7 +67,7 @@
     pub(crate) plan: AnswerPlan,
     /// Offset after the last token that was computed.
     pub(crate) produced: Cell<u32>,
-    /// Prompt tokens that the prefix cache spared.
+    /// Prompt tokens found in the prefix cache.
     pub(crate) cached_tokens: Cell<u64>,
     pub(crate) end: Cell<Option<End>>,
     pub(crate) changed: Notify,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Sets the end unless there is one, and wakes the readers.
+    /// Sets the end reason if none is set, and wakes the readers.
     pub(crate) fn finish(&self, end: End) {
         if self.end.get().is_none() {
             self.end.set(Some(end));
@@ -105,20 +105,20 @@
         self.changed.notify();
     }
 
-    /// Counts a reader until the guard is dropped.
-    pub(crate) fn reader(self: &Rc<Self>) -> Reader {
+    /// Registers a reader until the guard is dropped.
+    pub(crate) fn add_reader(self: &Rc<Self>) -> Reader {
         self.readers.set(self.readers.get() + 1);
         self.unread_since.set(None);
         Reader(Rc::clone(self))
     }
 
-    /// When the last reader went away, if none is there.
+    /// Time at which the last reader disconnected, if there is none now.
     pub(crate) fn unread_since(&self) -> Option<Instant> {
         self.unread_since.get()
     }
 
-    /// Waits for the end.
-    pub(crate) async fn ended(&self) -> End {
+    /// Waits until the output has ended and returns the reason.
+    pub(crate) async fn wait_for_end(&self) -> End {
         loop {
             let seen = self.changed.generation();
             if let Some(end) = self.end.get() {
@@ -129,7 +129,7 @@
     }
 }
 
-/// One reader of an output.
+/// Guard for one reader of an output.
 #[derive(Debug)]
 pub(crate) struct Reader(pub(crate) Rc<Output>);
 
--- a/crates/standin/src/engine/refusal.rs
+++ b/crates/standin/src/engine/refusal.rs
@@ -1,4 +1,4 @@
-//! Why the engine refuses work.
+//! Reasons for refusing work.
 
 use http::StatusCode;
 use mangofront_http::Outcome;
@@ -6,7 +6,7 @@
 
 use super::sequence::ReservationId;
 
-/// Reason to refuse work.
+/// Reason for refusing work.
 #[derive(Debug, Error)]
 pub(crate) enum Refusal {
     #[error("{0}")]
@@ -33,7 +33,7 @@
 }
 
 impl Refusal {
-    /// Status and stable code.
+    /// HTTP status and error code.
     pub(crate) fn status_and_code(&self) -> (StatusCode, &'static str) {
         match self {
             Self::Malformed(_) => (StatusCode::BAD_REQUEST, "malformed"),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// What is known of the work: an attempt that came twice may have run.
+    /// Whether the work may have run, as is possible for a duplicate attempt.
     pub(crate) fn outcome(&self) -> Outcome {
         match self {
             Self::Duplicate => Outcome::Unknown,
--- a/crates/standin/src/engine/reports.rs
+++ b/crates/standin/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! What the engine reports of itself: load, cache and orders in force.
+//! Reports on load, cache, and the state set by orders.
 
 use std::time::{Duration, Instant};
 
@@ -8,11 +8,11 @@
 use serde::Serialize;
 
 use super::cache_events::{CacheEvent, hex};
-use super::head::query;
+use super::head::query_number;
 use super::state::Engine;
 
-/// Longest wait for cache events, in milliseconds.
-const LONGEST_WAIT_MS: u64 = 60_000;
+/// Upper bound on `wait_ms` of a request for cache events, in milliseconds.
+const MAX_WAIT_MS: u64 = 60_000;
 
 #[derive(Serialize)]
 struct CacheReport {
@@ -28,7 +28,7 @@
     events: Vec<CacheEvent>,
 }
 
-/// Load, some time late.
+/// Load report, delayed by the configured lag.
 pub(crate) fn load(engine: &Engine) -> Response<Body> {
     let now = Instant::now();
     let report = engine
@@ -38,7 +38,7 @@
     json(StatusCode::OK, &report)
 }
 
-/// Prefix blocks that are present now.
+/// Prefix blocks currently present.
 pub(crate) fn cache(engine: &Engine) -> Response<Body> {
     let state = engine.state.borrow();
     let report = CacheReport {
@@ -49,10 +49,12 @@
     json(StatusCode::OK, &report)
 }
 
-/// Cache events, after a wait while there is none.
+/// Cache events; waits for up to `wait_ms` while there is none.
 pub(crate) async fn events(engine: &Engine, request: &Request<Incoming>) -> Response<Body> {
-    let from = query(request, "from").unwrap_or(0);
-    let wait_ms = query(request, "wait_ms").unwrap_or(0).min(LONGEST_WAIT_MS);
+    let from = query_number(request, "from").unwrap_or(0);
+    let wait_ms = query_number(request, "wait_ms")
+        .unwrap_or(0)
+        .min(MAX_WAIT_MS);
     let until = Instant::now() + Duration::from_millis(wait_ms);
     loop {
         let seen = engine.cache_changed.generation();
@@ -70,10 +72,10 @@
             };
             return json(StatusCode::OK, &report);
         }
-        let wake = next_at.unwrap_or(until).min(until);
+        let wake_at = next_at.unwrap_or(until).min(until);
         let changed = engine.cache_changed.changed(seen);
-        let left = wake.saturating_duration_since(now);
-        let _ = compio::time::timeout(left, changed).await;
+        let remaining = wake_at.saturating_duration_since(now);
+        let _ = compio::time::timeout(remaining, changed).await;
     }
 }
 
--- a/crates/standin/src/engine/reservations.rs
+++ b/crates/standin/src/engine/reservations.rs
@@ -1,7 +1,7 @@
 //! Memory reservations with leases.
 //!
-//! A daemon reserves a share of a long prompt's memory on several engines. The
-//! lease frees it also when that daemon dies.
+//! A daemon reserves memory for parts of a long prompt on several engines. The
+//! lease ensures that the memory is freed even if the daemon crashes.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -10,35 +10,35 @@
 use super::sequence::{Kind, ReservationId, Sequence};
 use super::state::Engine;
 
-/// Live reservations and those released before they arrived.
+/// Live reservations, and tombstones of released ones.
 #[derive(Debug, Default)]
 pub(crate) struct Reservations {
     live: HashMap<ReservationId, Reservation>,
     tombstones: HashMap<ReservationId, Instant>,
 }
 
-/// One reservation.
+/// Memory reserved for one request.
 ///
 /// Invariant: `held_tokens <= tokens`.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     pub(crate) tokens: u64,
-    /// Taken by segments and by answers in progress, in tokens.
+    /// Tokens in use by segments and by answers in progress.
     pub(crate) held_tokens: u64,
-    /// Prefill that segments computed here, in tokens.
+    /// Tokens prefilled by complete segments on this engine.
     pub(crate) computed_tokens: u64,
     expires: Instant,
 }
 
 impl Reservation {
-    /// Tokens that nothing holds yet.
+    /// Tokens not in use.
     pub(crate) fn free_tokens(&self) -> u64 {
         self.tokens - self.held_tokens
     }
 }
 
 impl Reservations {
-    /// Takes in a reservation whose memory is claimed already.
+    /// Adds a reservation whose memory has been claimed.
     pub(crate) fn insert(&mut self, id: ReservationId, tokens: u64, lease: Duration, now: Instant) {
         let reservation = Reservation {
             tokens,
@@ -49,12 +49,12 @@
         self.live.insert(id, reservation);
     }
 
-    /// A live reservation.
+    /// Returns a live reservation.
     pub(crate) fn get_mut(&mut self, id: &str) -> Option<&mut Reservation> {
         self.live.get_mut(id)
     }
 
-    /// Renews a lease; false when there is none.
+    /// Renews a lease. Returns false if the reservation does not exist.
     pub(crate) fn renew(&mut self, id: &str, lease: Duration, now: Instant) -> bool {
         let Some(reservation) = self.live.get_mut(id) else {
             return false;
@@ -63,22 +63,22 @@
         true
     }
 
-    /// Removes a reservation; the tokens that it held.
+    /// Removes a reservation and returns its tokens.
     pub(crate) fn remove(&mut self, id: &str) -> Option<u64> {
         self.live.remove(id).map(|reservation| reservation.tokens)
     }
 
-    /// Remembers that a reservation was released, should it arrive later.
-    pub(crate) fn bury(&mut self, id: &str, now: Instant) {
+    /// Records a release, so that a reservation that arrives later is refused.
+    pub(crate) fn add_tombstone(&mut self, id: &str, now: Instant) {
         self.tombstones.insert(id.to_owned(), now);
     }
 
-    /// Whether a reservation was released before.
-    pub(crate) fn is_buried(&self, id: &str) -> bool {
+    /// Whether a reservation has been released.
+    pub(crate) fn has_tombstone(&self, id: &str) -> bool {
         self.tombstones.contains_key(id)
     }
 
-    /// Reservations whose lease has run out.
+    /// Reservations whose lease has expired.
     pub(crate) fn expired(&self, now: Instant) -> Vec<ReservationId> {
         self.live
             .iter()
@@ -87,10 +87,10 @@
             .collect()
     }
 
-    /// Forgets tombstones older than `age`.
-    pub(crate) fn forget_tombstones(&mut self, age: Duration, now: Instant) {
+    /// Removes tombstones of at least `age`.
+    pub(crate) fn remove_tombstones(&mut self, age: Duration, now: Instant) {
         self.tombstones
-            .retain(|_, buried| now.saturating_duration_since(*buried) < age);
+            .retain(|_, created_at| now.saturating_duration_since(*created_at) < age);
     }
 
     /// Tokens of all live reservations.
@@ -101,7 +101,8 @@
             .sum()
     }
 
-    /// Gives back what a sequence held; a whole segment's tokens stay.
+    /// Returns the tokens of an ended sequence to its reservation, except those
+    /// of a complete segment, which hold its KV cache.
     pub(crate) fn sequence_ended(&mut self, id: &str, sequence: &Sequence) {
         let Some(reservation) = self.live.get_mut(id) else {
             return;
@@ -116,7 +117,7 @@
 }
 
 impl Engine {
-    /// Makes a reservation, or renews the one of that id.
+    /// Creates a reservation, or renews the one with that id.
     pub(crate) fn reserve(
         &self,
         id: ReservationId,
@@ -125,8 +126,8 @@
     ) -> Result<(), Refusal> {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
-        state.check_open()?;
-        if state.reservations.is_buried(&id) {
+        state.check_accepting()?;
+        if state.reservations.has_tombstone(&id) {
             return Err(Refusal::Cancelled);
         }
         if let Some(reservation) = state.reservations.get_mut(&id) {
@@ -148,10 +149,10 @@
         Ok(())
     }
 
-    /// Releases a reservation, also one that arrives later.
+    /// Releases a reservation, including one that has not arrived yet.
     pub(crate) fn release(&self, id: &str) {
         let mut state = self.state.borrow_mut();
-        state.reservations.bury(id, Instant::now());
+        state.reservations.add_tombstone(id, Instant::now());
         state.drop_reservation(id);
         drop(state);
         self.after_change();
--- a/crates/standin/src/engine/routes.rs
+++ b/crates/standin/src/engine/routes.rs
@@ -12,18 +12,18 @@
 use serde::{Deserialize, Serialize};
 
 use super::control::ControlRequest;
-use super::head::{query, request_head};
+use super::error_response::ErrorResponse;
+use super::head::{query_number, request_head};
 use super::orders::{LoadState, OrderKind, OrderRequest};
 use super::output::{Attempt, End, Reader};
 use super::refusal::Refusal;
-use super::rejection::Rejection;
 use super::reports;
 use super::state::Engine;
 use super::stream::chunks;
 use super::submit::SegmentRequest;
 use super::transfer::{Export, ExportRequest};
 
-type Answer = Result<Response<Body>, Rejection>;
+type Answer = Result<Response<Body>, ErrorResponse>;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -49,19 +49,19 @@
     state: LoadState,
 }
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn answer(engine: Rc<Engine>, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
-    // The switches stay within reach while the engine is frozen.
+    // Control requests are served even while the engine is frozen.
     let is_control = path.starts_with("/control");
     if !is_control {
-        engine.thawed().await;
+        engine.wait_while_frozen().await;
     }
     let answered = route(&engine, &path, request).await;
     if !is_control {
-        engine.thawed().await;
+        engine.wait_while_frozen().await;
     }
-    let mut response = answered.unwrap_or_else(Rejection::into_response);
+    let mut response = answered.unwrap_or_else(ErrorResponse::into_response);
     response
         .headers_mut()
         .insert(headers::INCARNATION, HeaderValue::from(engine.incarnation));
@@ -102,34 +102,38 @@
             let report = engine.state.borrow().counters_report();
             Ok(json(StatusCode::OK, &report))
         }
-        _ => Err(Rejection::unknown("unknown_path", "route", "no such path")),
+        _ => Err(ErrorResponse::unknown(
+            "unknown_path",
+            "route",
+            "no such path",
+        )),
     }
 }
 
 async fn complete(engine: &Rc<Engine>, endpoint: Endpoint, request: Request<Incoming>) -> Answer {
     let head = request_head(engine, request.headers())
-        .map_err(|error| Rejection::refused(&error, "submit"))?;
+        .map_err(|error| ErrorResponse::refused(&error, "submit"))?;
     let body = read_body(engine, request).await?;
     let prompt = mangofront_prompt::parse(endpoint, &body)
-        .map_err(|error| Rejection::malformed("read_body", &error))?;
+        .map_err(|error| ErrorResponse::malformed("read_body", &error))?;
     let offset = head.resume_offset;
     let reader = engine
         .submit(head, prompt)
-        .map_err(|error| Rejection::refused(&error, "submit"))?;
+        .map_err(|error| ErrorResponse::refused(&error, "submit"))?;
     Ok(stream_response(engine, reader, offset))
 }
 
 fn resume(engine: &Rc<Engine>, id: &str, request: &Request<Incoming>) -> Answer {
     let output = engine.state.borrow().streams.get(id).cloned();
-    let output =
-        output.ok_or_else(|| Rejection::unknown("unknown_stream", "resume", "stream is gone"))?;
-    let offset = query(request, "offset").unwrap_or(0);
+    let output = output
+        .ok_or_else(|| ErrorResponse::unknown("unknown_stream", "resume", "stream is gone"))?;
+    let offset = query_number(request, "offset").unwrap_or(0);
     let offset = u32::try_from(offset).unwrap_or(u32::MAX);
     if offset < output.plan.start_offset || offset > output.plan.length_tokens {
         let message = "offset is outside of this stream";
-        return Err(Rejection::malformed("resume", &message));
+        return Err(ErrorResponse::malformed("resume", &message));
     }
-    Ok(stream_response(engine, output.reader(), offset))
+    Ok(stream_response(engine, output.add_reader(), offset))
 }
 
 fn stream_response(engine: &Rc<Engine>, reader: Reader, offset: u32) -> Response<Body> {
@@ -140,7 +144,8 @@
     response
         .headers_mut()
         .insert(http::header::CONTENT_TYPE, event_stream);
-    // A stream's id is hex digits and a hyphen, always a valid header.
+    // A stream id consists of hex digits and a hyphen, so it is always a valid
+    // header value.
     if let Ok(id) = id {
         response.headers_mut().insert(headers::STREAM_ID, id);
     }
@@ -150,7 +155,7 @@
 fn cancel(engine: &Engine, id: &str, attempt: &str) -> Answer {
     let attempt = attempt
         .parse::<Attempt>()
-        .map_err(|error| Rejection::malformed("cancel", &error))?;
+        .map_err(|error| ErrorResponse::malformed("cancel", &error))?;
     engine.cancel(id, attempt);
     Ok(no_content())
 }
@@ -160,7 +165,7 @@
     let export = engine
         .export(&request)
         .await
-        .map_err(|e| Rejection::transfer(&e))?;
+        .map_err(|e| ErrorResponse::transfer(&e))?;
     Ok(json(StatusCode::OK, &export))
 }
 
@@ -169,7 +174,7 @@
     let imported = engine
         .import(&export)
         .await
-        .map_err(|e| Rejection::transfer(&e))?;
+        .map_err(|e| ErrorResponse::transfer(&e))?;
     Ok(json(StatusCode::OK, &imported))
 }
 
@@ -178,7 +183,7 @@
     let lease = Duration::from_millis(request.lease_ms);
     engine
         .reserve(request.reservation, request.tokens, lease)
-        .map_err(|error| Rejection::refused(&error, "reserve"))?;
+        .map_err(|error| ErrorResponse::refused(&error, "reserve"))?;
     let lease_ms = request.lease_ms;
     Ok(json(StatusCode::CREATED, &Lease { lease_ms }))
 }
@@ -190,7 +195,7 @@
     let renewed = engine.state.borrow_mut().reservations.renew(id, lease, now);
     if !renewed {
         let refusal = Refusal::UnknownReservation(id.to_owned());
-        return Err(Rejection::refused(&refusal, "renew"));
+        return Err(ErrorResponse::refused(&refusal, "renew"));
     }
     Ok(json(StatusCode::OK, &Lease { lease_ms }))
 }
@@ -199,12 +204,12 @@
     let request: SegmentRequest = read(engine, request).await?;
     let reader = engine
         .submit_segment(request)
-        .map_err(|error| Rejection::refused(&error, "segment"))?;
-    let end = reader.0.ended().await;
+        .map_err(|error| ErrorResponse::refused(&error, "segment"))?;
+    let end = reader.0.wait_for_end().await;
     if end == End::Finished {
         return Ok(json(StatusCode::OK, &serde_json::json!({})));
     }
-    Err(Rejection::segment(end))
+    Err(ErrorResponse::segment(end))
 }
 
 async fn order(engine: &Rc<Engine>, kind: &str, request: Request<Incoming>) -> Answer {
@@ -213,12 +218,18 @@
         "adapter" => OrderKind::Adapter,
         "version" => OrderKind::Version,
         "role" => OrderKind::Role,
-        _ => return Err(Rejection::unknown("unknown_path", "order", "no such order")),
+        _ => {
+            return Err(ErrorResponse::unknown(
+                "unknown_path",
+                "order",
+                "no such order",
+            ));
+        }
     };
     let request: OrderRequest = read(engine, request).await?;
     let state = engine
         .order(kind, &request)
-        .map_err(|error| Rejection::order(&error))?;
+        .map_err(|error| ErrorResponse::order(&error))?;
     Ok(json(StatusCode::OK, &OrderAnswer { state }))
 }
 
@@ -231,16 +242,16 @@
 async fn read<T: DeserializeOwned>(
     engine: &Engine,
     request: Request<Incoming>,
-) -> Result<T, Rejection> {
+) -> Result<T, ErrorResponse> {
     let body = read_body(engine, request).await?;
-    serde_json::from_slice(&body).map_err(|error| Rejection::malformed("read_body", &error))
+    serde_json::from_slice(&body).map_err(|error| ErrorResponse::malformed("read_body", &error))
 }
 
-async fn read_body(engine: &Engine, request: Request<Incoming>) -> Result<Bytes, Rejection> {
+async fn read_body(engine: &Engine, request: Request<Incoming>) -> Result<Bytes, ErrorResponse> {
     let limit_bytes = engine.settings.body_limit_bytes;
     collect(request.into_body(), limit_bytes)
         .await
-        .map_err(|error| Rejection::malformed("read_body", &error))
+        .map_err(|error| ErrorResponse::malformed("read_body", &error))
 }
 
 fn no_content() -> Response<Body> {
--- a/crates/standin/src/engine/scheduler.rs
+++ b/crates/standin/src/engine/scheduler.rs
@@ -1,4 +1,4 @@
-//! The task that steps the batch, and the one that ends what has run out.
+//! Tasks that step the batch and end expired work.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,15 +8,16 @@
 use super::sequence::{Kind, Rank};
 use super::state::{Engine, State};
 
-/// Pause of the sweeper, the resolution of leases, windows and deadlines.
-const SWEEP_PAUSE: Duration = Duration::from_millis(20);
+/// Interval between sweeps: the resolution of leases, resume windows and
+/// deadlines.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How late a step may end and still be made up for by the next ones.
+/// Upper bound on the lateness that later steps compensate for.
 ///
-/// Timers wake late by up to a few milliseconds; without making up for it, an
-/// engine on a scaled clock would be slower than its settings say. A process
-/// that was stopped for longer than this has lost that time.
-const LATENESS_LIMIT: Duration = Duration::from_millis(50);
+/// Timers wake up to a few milliseconds late; without compensation, an engine on
+/// a scaled clock would be slower than its settings say. Time lost beyond this
+/// bound, as by a suspended process, is not compensated for.
+const MAX_CATCH_UP: Duration = Duration::from_millis(50);
 
 /// Steps the batch until the engine is dropped.
 pub(crate) async fn run_steps(engine: Rc<Engine>) {
@@ -31,27 +32,27 @@
             continue;
         }
         let began = Instant::now();
-        due = due.max(began.checked_sub(LATENESS_LIMIT).unwrap_or(began));
+        due = due.max(began.checked_sub(MAX_CATCH_UP).unwrap_or(began));
         due += engine.duration(&step);
         sleep_until(due).await;
-        engine.thawed().await;
+        engine.wait_while_frozen().await;
         engine.apply(&step, began.elapsed());
     }
 }
 
-/// Ends leases, windows and deadlines until the engine is dropped.
+/// Enforces leases, resume windows and deadlines until the engine is dropped.
 pub(crate) async fn run_sweeps(engine: Rc<Engine>) {
     loop {
-        compio::time::sleep(SWEEP_PAUSE).await;
-        engine.thawed().await;
+        compio::time::sleep(SWEEP_INTERVAL).await;
+        engine.wait_while_frozen().await;
         engine.sweep();
     }
 }
 
 async fn sleep_until(due: Instant) {
-    // A passed moment still waits once, so that connections get their turn.
-    let left = due.saturating_duration_since(Instant::now());
-    compio::time::sleep(left.max(Duration::from_micros(1))).await;
+    // Yields once even if `due` has passed, so that connection tasks can run.
+    let remaining = due.saturating_duration_since(Instant::now());
+    compio::time::sleep(remaining.max(Duration::from_micros(1))).await;
 }
 
 impl Engine {
@@ -61,29 +62,29 @@
         Duration::try_from_secs_f64(cost_us / 1e6).unwrap_or_default()
     }
 
-    fn apply(&self, step: &Step, took: Duration) {
+    fn apply(&self, step: &Step, elapsed: Duration) {
         let mut state = self.state.borrow_mut();
         let prefill_tokens = step.prefill_tokens();
-        // A step with little prefill tells nothing of the rate at which a
-        // long one would go.
+        // The rate of a step with little prefill does not represent that of a
+        // long prefill.
         let is_full = prefill_tokens * 2 >= self.settings.step.prefill_chunk_tokens;
         let observed_tokens = if is_full { prefill_tokens } else { 0 };
         state
             .load
-            .observe_step(observed_tokens, !step.decodes.is_empty(), took);
+            .observe_step(observed_tokens, !step.decodes.is_empty(), elapsed);
         for rank in &step.decodes {
-            state.yield_token(*rank);
+            state.emit_token(*rank);
         }
         for (rank, tokens) in &step.prefills {
-            if state.batch.prefilled(*rank, *tokens) {
+            if state.batch.record_prefill(*rank, *tokens) {
                 state.finish_prefill(*rank);
             }
         }
-        let dies_at = state.switches.die_at_tokens;
-        let dies = dies_at.is_some_and(|tokens| state.counters.tokens >= tokens);
+        let crash_at = state.switches.crash_at_tokens;
+        let crashes = crash_at.is_some_and(|tokens| state.counters.tokens >= tokens);
         drop(state);
-        if dies {
-            self.die();
+        if crashes {
+            self.crash();
         }
         self.after_change();
     }
@@ -91,10 +92,10 @@
     fn sweep(&self) {
         let now = Instant::now();
         let window = Duration::from_millis(self.settings.resume_window_ms);
-        let tombstone = Duration::from_millis(self.settings.tombstone_ms);
+        let tombstone_age = Duration::from_millis(self.settings.tombstone_ms);
         let mut state = self.state.borrow_mut();
         for id in state.reservations.expired(now) {
-            log::info!("standin engine: lease of reservation {id} ran out");
+            log::info!("standin engine: lease of reservation {id} expired");
             state.drop_reservation(&id);
         }
         state.end_where(End::Deadline, |sequence| {
@@ -106,11 +107,11 @@
         state.end_where(End::Cancelled, |sequence| {
             unread(sequence.output.unread_since())
         });
-        state.forget_unread(unread, now);
-        state
-            .tombstones
-            .retain(|_, kept| now.saturating_duration_since(kept.buried_at) < tombstone);
-        state.reservations.forget_tombstones(tombstone, now);
+        state.remove_unread_streams(unread, now);
+        state.tombstones.retain(|_, tombstone| {
+            now.saturating_duration_since(tombstone.created_at) < tombstone_age
+        });
+        state.reservations.remove_tombstones(tombstone_age, now);
         drop(state);
         self.after_change();
         self.work.notify();
@@ -121,14 +122,14 @@
     fn finish_prefill(&mut self, rank: Rank) {
         let kind = self.batch.running.get(&rank).map(|sequence| sequence.kind);
         match kind {
-            Some(Kind::Answer) => self.yield_token(rank),
+            Some(Kind::Answer) => self.emit_token(rank),
             Some(Kind::Segment) => self.end_sequence(rank, End::Finished),
             None => {}
         }
     }
 
-    fn yield_token(&mut self, rank: Rank) {
-        let Some(output) = self.batch.decoded(rank) else {
+    fn emit_token(&mut self, rank: Rank) {
+        let Some(output) = self.batch.record_decode(rank) else {
             return;
         };
         self.counters.tokens += 1;
@@ -139,15 +140,16 @@
         }
     }
 
-    /// Forgets ended streams that nobody came back for.
-    fn forget_unread(&mut self, unread: impl Fn(Option<Instant>) -> bool, now: Instant) {
-        let is_over = |output: &Output| output.end.get().is_some() && unread(output.unread_since());
-        let over = self.streams.extract_if(|_, output| is_over(output));
-        let over: Vec<Rc<Output>> = over.map(|(_, output)| output).collect();
-        for output in over {
+    /// Removes ended streams without a reader for the resume window.
+    fn remove_unread_streams(&mut self, unread: impl Fn(Option<Instant>) -> bool, now: Instant) {
+        let is_expired =
+            |output: &Output| output.end.get().is_some() && unread(output.unread_since());
+        let expired = self.streams.extract_if(|_, output| is_expired(output));
+        let expired: Vec<Rc<Output>> = expired.map(|(_, output)| output).collect();
+        for output in expired {
             let key = (output.request.clone(), output.attempt);
             self.attempts.remove(&key);
-            self.bury(key, true, now);
+            self.add_tombstone(key, true, now);
         }
     }
 }
--- a/crates/standin/src/engine/sequence.rs
+++ b/crates/standin/src/engine/sequence.rs
@@ -1,40 +1,40 @@
-//! One sequence of the batch: an answer or a segment of a long prompt.
+//! Sequence of the batch: an answer, or a segment of a long prompt.
 
 use std::rc::Rc;
 use std::time::Instant;
 
 use mangofront_prompt::BlockHash;
 
-use super::memory::BLOCK;
+use super::memory::TOKENS_PER_BLOCK;
 use super::output::Output;
 
-/// Id of a memory reservation, given by the daemon.
+/// Id of a memory reservation, assigned by the daemon.
 pub(crate) type ReservationId = String;
 
-/// Place of a sequence in the order of urgency: lower is computed first.
+/// Scheduling order of a sequence: lower ranks are computed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     /// Priority from the request, 0 the most urgent.
     pub(crate) priority: u8,
-    /// Number of the arrival, unique in an engine's life.
+    /// Arrival number, unique within an incarnation of the engine.
     pub(crate) arrival: u64,
 }
 
-/// What a sequence computes.
+/// Kind of work of a sequence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Kind {
-    /// Prefill, then the tokens of an answer.
+    /// Prefill, then decode of an answer.
     Answer,
-    /// Prefill alone.
+    /// Prefill only.
     Segment,
 }
 
-/// Where a sequence's memory comes from.
+/// Source of the memory of a sequence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Memory {
-    /// The common pool, claimed when the sequence starts.
+    /// Common pool, from which memory is claimed when the sequence starts.
     Pool,
-    /// A reservation, which holds it already.
+    /// Reservation, whose memory is already claimed.
     Reservation(ReservationId),
 }
 
@@ -47,22 +47,23 @@
     pub(crate) rank: Rank,
     pub(crate) kind: Kind,
     pub(crate) memory: Memory,
-    /// Whole blocks of the prompt.
+    /// Complete blocks of the prompt.
     pub(crate) blocks: Rc<[BlockHash]>,
-    /// Prefill that this engine does for the prompt, in tokens.
+    /// Part of the prompt that this engine prefills, in tokens.
     pub(crate) share_tokens: u64,
-    /// Context before that share, computed elsewhere, in tokens.
+    /// Context that precedes the share, computed by other engines or under the
+    /// reservation, in tokens.
     pub(crate) context_tokens: u64,
     pub(crate) prefilled_tokens: u64,
     pub(crate) private_tokens: u64,
-    /// Leading `blocks` that are pinned in memory.
+    /// Number of leading `blocks` pinned in memory.
     pub(crate) pinned_blocks: usize,
     pub(crate) deadline: Option<Instant>,
     pub(crate) output: Rc<Output>,
 }
 
 impl Sequence {
-    /// A waiting sequence on the common pool, without blocks or deadline.
+    /// Creates a waiting sequence on the common pool, without blocks or deadline.
     pub(crate) fn new(kind: Kind, rank: Rank, share_tokens: u64, output: Rc<Output>) -> Self {
         Self {
             rank,
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Tokens to prefill before the next token: the share and what was
-    /// answered already.
+    /// Tokens to prefill before the next token: the share and the tokens of the
+    /// answer produced so far.
     pub(crate) fn prefill_tokens(&self) -> u64 {
         match self.kind {
             Kind::Answer => self.share_tokens + u64::from(self.output.produced.get()),
@@ -88,14 +89,14 @@
         }
     }
 
-    /// Prefill that is left, in tokens.
+    /// Remaining prefill, in tokens.
     ///
-    /// A decoding sequence has none: a token counts as prefilled once yielded.
+    /// Zero for a decoding sequence: a token counts as prefilled once produced.
     pub(crate) fn unfilled_tokens(&self) -> u64 {
         self.prefill_tokens() - self.prefilled_tokens
     }
 
-    /// Memory that the whole sequence takes, in tokens.
+    /// Memory needed by the complete sequence, in tokens.
     pub(crate) fn size_tokens(&self) -> u64 {
         match self.kind {
             Kind::Answer => self.share_tokens + u64::from(self.output.plan.max_tokens),
@@ -108,9 +109,10 @@
         self.context_tokens + self.prefilled_tokens
     }
 
-    /// Blocks that have been computed whole but are not pinned yet.
-    pub(crate) fn finished_blocks(&self) -> std::ops::Range<usize> {
-        let whole = usize::try_from(self.prefilled_tokens / BLOCK).unwrap_or(usize::MAX);
-        self.pinned_blocks..whole.min(self.blocks.len()).max(self.pinned_blocks)
+    /// Indices of blocks that are complete but not published yet.
+    pub(crate) fn unpublished_blocks(&self) -> std::ops::Range<usize> {
+        let complete =
+            usize::try_from(self.prefilled_tokens / TOKENS_PER_BLOCK).unwrap_or(usize::MAX);
+        self.pinned_blocks..complete.min(self.blocks.len()).max(self.pinned_blocks)
     }
 }
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the emulated engine.
 //!
-//! The defaults describe an assumed engine of eight modern accelerators; how
-//! they were reached stands in `docs/standins.md`.
+//! The defaults describe an assumed engine of eight modern accelerators; see
+//! `docs/standins.md` for their derivation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,39 +16,41 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSettings {
-    /// Model that it serves at start.
+    /// Model served at start.
     pub model: ModelName,
     /// Version of that model at start.
     pub version: String,
-    /// What it says of its work; the emulator computes all kinds alike.
+    /// Role that the engine reports; the emulator does all work in every role.
     pub role: EngineRole,
-    /// Number of this life; the start's wall clock in milliseconds when unset.
+    /// Incarnation number; defaults to the wall clock at start, in milliseconds.
     pub incarnation: Option<Incarnation>,
-    /// Memory of the KV cache, in tokens.
+    /// Capacity of the KV cache, in tokens.
     pub kv_total_tokens: u64,
-    /// Most sequences computed at once.
+    /// Maximum number of sequences in a batch.
     pub max_running: usize,
-    /// Most sequences that wait; more are refused as `busy`.
+    /// Maximum number of waiting sequences; more are refused as `busy`.
     pub max_waiting: usize,
-    /// Cost of the steps.
+    /// Cost model of the steps.
     pub step: StepSettings,
-    /// Factor on the engine's own durations: steps, loading, lags, transfers.
+    /// Factor on the durations that the engine emulates: steps, loading, lags and
+    /// transfers.
     pub time_scale: f64,
-    /// Age of the load that is reported, in milliseconds.
+    /// Lag of the load reports, in milliseconds.
     pub load_lag_ms: u64,
     /// Delay of cache events, in milliseconds.
     pub cache_event_delay_ms: u64,
-    /// Time for which a stream without reader is kept, in milliseconds.
+    /// Time for which a stream without a reader is kept, in milliseconds.
     pub resume_window_ms: u64,
-    /// Time for which a cancel is remembered, in milliseconds.
+    /// Time for which tombstones of cancelled, forgotten or released work are
+    /// kept, in milliseconds.
     pub tombstone_ms: u64,
     /// Whether orders with an old fencing token are refused.
     pub fencing: Fencing,
-    /// Weight store to fetch from when a model or adapter is ordered.
+    /// Weight store from which ordered models and adapters are fetched.
     pub weights_address: Option<SocketAddr>,
     /// Time to load fetched weights, in milliseconds.
     pub load_time_ms: u64,
-    /// Rate of exported and imported KV cache, in tokens a second.
+    /// Rate of KV cache export and import, in tokens per second.
     pub kv_transfer_tokens_per_s: u64,
     /// Largest request body, in bytes.
     pub body_limit_bytes: usize,
@@ -80,17 +82,17 @@
 }
 
 impl EngineSettings {
-    /// The engine's own duration of `duration_ms`, scaled.
+    /// Returns `duration_ms` scaled by `time_scale`.
     pub(crate) fn scaled(&self, duration_ms: u64) -> Duration {
         scale(duration_ms, self.time_scale)
     }
 }
 
-/// Cost of one step of continuous batching.
+/// Cost model of one step of continuous batching.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StepSettings {
-    /// Cost of any step, in microseconds.
+    /// Base cost of a step, in microseconds.
     pub base_us: f64,
     /// Cost of each decoding sequence, in microseconds.
     pub decode_sequence_us: f64,
@@ -102,7 +104,7 @@
     /// Attention cost of each prefill token for each thousand tokens before
     /// it, in microseconds.
     pub prefill_context_us: f64,
-    /// Most prefill tokens in one step.
+    /// Maximum number of prefill tokens per step.
     pub prefill_chunk_tokens: u64,
 }
 
@@ -119,15 +121,15 @@
     }
 }
 
-/// What an engine says it computes.
+/// Role that an engine reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
     /// Prefill and decode.
     #[default]
     Mixed,
-    /// Prefill.
+    /// Prefill only.
     Prefill,
-    /// Decode.
+    /// Decode only.
     Decode,
 }
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,8 +1,8 @@
-//! The state of one emulated engine, shared by its tasks.
+//! State of an emulated engine, shared by its tasks.
 //!
-//! Everything stands behind one `RefCell` that no task holds over an await.
-//! The scheduler, the sweeper and one task per connection change it by the
-//! methods here and in the modules beside.
+//! The mutable state is in one `RefCell`, which no task keeps borrowed across an
+//! await. The scheduler, the sweeper and one task per connection change it
+//! through the methods here and in the sibling modules.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,24 +24,24 @@
 use super::settings::EngineSettings;
 use crate::notify::Notify;
 
-/// What the tasks of an engine share.
+/// Data shared by the tasks of an engine.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) settings: EngineSettings,
     pub(crate) incarnation: Incarnation,
     pub(crate) state: RefCell<State>,
-    /// Work came in, or the batch changed.
+    /// Notified when work arrives or the batch changes.
     pub(crate) work: Notify,
-    /// A cache event was written.
+    /// Notified when a cache event is recorded.
     pub(crate) cache_changed: Notify,
-    /// Tasks that load weights; they hold the engine in turn, so `run` takes
-    /// them out in the end.
-    pub(crate) loads: RefCell<Vec<JoinHandle<()>>>,
+    /// Tasks that load weights. They hold an `Rc` of the engine, so `run` removes
+    /// them at the end to break the cycle.
+    pub(crate) load_tasks: RefCell<Vec<JoinHandle<()>>>,
     frozen_until: Cell<Option<Instant>>,
-    death: RefCell<Option<ShutdownTrigger>>,
+    abort_trigger: RefCell<Option<ShutdownTrigger>>,
 }
 
-/// State that changes.
+/// Mutable state of an engine.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) batch: Batch,
@@ -57,18 +57,18 @@
     next_arrival: u64,
 }
 
-/// Memory of an attempt that was cancelled or whose stream was forgotten.
+/// Record of an attempt that was cancelled or whose stream was removed.
 #[derive(Debug)]
 pub(crate) struct Tombstone {
-    pub(crate) buried_at: Instant,
-    /// Whether the attempt came before that, and so may have run.
+    pub(crate) created_at: Instant,
+    /// Whether the attempt had arrived by then, and so may have run.
     pub(crate) had_arrived: bool,
 }
 
 impl Engine {
-    /// An idle engine and the signal of its death.
+    /// Creates an idle engine and the signal that aborts its server.
     pub(crate) fn new(settings: EngineSettings) -> (Rc<Self>, Shutdown) {
-        let (trigger, death) = Shutdown::new();
+        let (trigger, abort) = Shutdown::new();
         let incarnation = settings.incarnation.unwrap_or_else(wall_clock_ms);
         let state = State::new(&settings);
         let engine = Self {
@@ -77,48 +77,48 @@
             state: RefCell::new(state),
             work: Notify::default(),
             cache_changed: Notify::default(),
-            loads: RefCell::default(),
+            load_tasks: RefCell::default(),
             frozen_until: Cell::new(None),
-            death: RefCell::new(Some(trigger)),
+            abort_trigger: RefCell::new(Some(trigger)),
         };
-        (Rc::new(engine), death)
+        (Rc::new(engine), abort)
     }
 
-    /// Dies: `run` cuts all connections and returns.
-    pub(crate) fn die(&self) {
-        if let Some(trigger) = self.death.borrow_mut().take() {
-            log::info!("standin engine: dies by its switch");
+    /// Emulates a crash: `run` drops all connections and returns.
+    pub(crate) fn crash(&self) {
+        if let Some(trigger) = self.abort_trigger.borrow_mut().take() {
+            log::info!("standin engine: crashing as requested by /control");
             trigger.trigger();
         }
     }
 
-    /// Stops stepping and answering for `duration`.
+    /// Stops stepping and responding for `duration`.
     pub(crate) fn freeze(&self, duration: Duration) {
         self.frozen_until.set(Some(Instant::now() + duration));
     }
 
     /// Waits until the engine is not frozen.
-    pub(crate) async fn thawed(&self) {
+    pub(crate) async fn wait_while_frozen(&self) {
         while let Some(until) = self.frozen_until.get() {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 self.frozen_until.set(None);
                 return;
             }
-            compio::time::sleep(left).await;
+            compio::time::sleep(remaining).await;
         }
     }
 
-    /// Brings events, load and invariants up to date after a change.
+    /// Records cache events and load after a change, and checks the invariants.
     pub(crate) fn after_change(&self) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
         let changes = state.batch.memory.take_changes();
-        let wrote = state.record_cache_changes(changes, now);
+        let recorded = state.record_cache_changes(changes, now);
         state.record_load(now);
         state.check_invariants();
         drop(state);
-        if wrote {
+        if recorded {
             self.cache_changed.notify();
         }
     }
@@ -145,13 +145,13 @@
         }
     }
 
-    /// Number of the next arrival.
-    pub(crate) fn arrival(&mut self) -> u64 {
+    /// Returns a new arrival number.
+    pub(crate) fn next_arrival(&mut self) -> u64 {
         self.next_arrival += 1;
         self.next_arrival
     }
 
-    /// Ends a sequence and gives its memory back.
+    /// Ends a sequence and frees its memory.
     pub(crate) fn end_sequence(&mut self, rank: Rank, end: End) {
         let Some(sequence) = self.batch.remove(rank) else {
             return;
@@ -165,7 +165,7 @@
         sequence.output.finish(end);
     }
 
-    /// Ends every sequence that `matches`.
+    /// Ends every sequence for which `matches` returns true.
     pub(crate) fn end_where(&mut self, end: End, matches: impl Fn(&Sequence) -> bool) {
         let ranks: Vec<Rank> = self
             .batch
@@ -178,28 +178,28 @@
         }
     }
 
-    /// Cancels an attempt, also one that has not arrived yet.
+    /// Cancels an attempt, including one that has not arrived yet.
     pub(crate) fn cancel(&mut self, request: &str, attempt: Attempt, now: Instant) {
         let key = (request.to_owned(), attempt);
         let is_named = |sequence: &Sequence| {
             sequence.output.attempt == attempt && sequence.output.request == request
         };
         let arrived = self.attempts.contains_key(&key) || self.batch.sequences().any(is_named);
-        self.bury(key, arrived, now);
+        self.add_tombstone(key, arrived, now);
         self.end_where(End::Cancelled, is_named);
     }
 
-    /// Remembers an attempt, so that it is refused when it comes later.
-    pub(crate) fn bury(&mut self, key: (RequestId, Attempt), arrived: bool, now: Instant) {
+    /// Records an attempt, so that it is refused if it arrives later.
+    pub(crate) fn add_tombstone(&mut self, key: (RequestId, Attempt), arrived: bool, now: Instant) {
         let tombstone = self.tombstones.entry(key).or_insert(Tombstone {
-            buried_at: now,
+            created_at: now,
             had_arrived: false,
         });
-        tombstone.buried_at = now;
+        tombstone.created_at = now;
         tombstone.had_arrived |= arrived;
     }
 
-    /// Releases a reservation and ends what computes under it.
+    /// Removes a reservation and ends the sequences that use it.
     pub(crate) fn drop_reservation(&mut self, id: &str) {
         self.end_where(
             End::ReservationGone,
@@ -215,11 +215,11 @@
         let idle = self.batch.running.is_empty();
         let leaked = idle && memory.used_tokens() > 0;
         let reserved = memory.reserved_tokens() == self.reservations.total_tokens();
-        if memory.is_sound() && !leaked && reserved {
+        if memory.is_consistent() && !leaked && reserved {
             return;
         }
         self.counters.invariants_broken += 1;
-        log::error!("standin engine: memory account is broken: {memory:?}");
+        log::error!("standin engine: memory accounting is inconsistent: {memory:?}");
     }
 }
 
--- a/crates/standin/src/engine/stream.rs
+++ b/crates/standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! The event stream of an answer.
+//! Event stream of an answer.
 
 use std::rc::Rc;
 
@@ -12,7 +12,8 @@
 use super::state::Engine;
 use crate::answer::{finish_reason, token_text};
 
-/// Most frames in one chunk, so that a reader far behind is served in parts.
+/// Maximum number of frames per chunk; bounds the chunk for a reader that is far
+/// behind.
 const FRAMES_PER_CHUNK: u32 = 64;
 
 #[derive(Serialize)]
@@ -33,34 +34,34 @@
     completion_tokens: u32,
 }
 
-/// Where a reader stands.
-struct Position {
+/// Position of a reader in its stream.
+struct StreamCursor {
     engine: Rc<Engine>,
     reader: Reader,
     next_offset: u32,
     done: bool,
 }
 
-/// Chunks of frames from token `offset` to the end.
+/// Returns chunks of frames from token `offset` to the end.
 ///
-/// Holds `reader`, so the engine sees when the connection goes away.
+/// Owns `reader`, so the engine notices when the connection closes.
 pub(crate) fn chunks(engine: Rc<Engine>, reader: Reader, offset: u32) -> impl Stream<Item = Bytes> {
-    let position = Position {
+    let cursor = StreamCursor {
         engine,
         reader,
         next_offset: offset,
         done: false,
     };
-    unfold(position, |mut position| async move {
-        if position.done {
+    unfold(cursor, |mut cursor| async move {
+        if cursor.done {
             return None;
         }
-        let chunk = position.next_chunk().await;
-        Some((chunk, position))
+        let chunk = cursor.next_chunk().await;
+        Some((chunk, cursor))
     })
 }
 
-impl Position {
+impl StreamCursor {
     async fn next_chunk(&mut self) -> Bytes {
         loop {
             let output = &self.reader.0;
@@ -71,7 +72,7 @@
             }
             output.changed.changed(seen).await;
         }
-        self.engine.thawed().await;
+        self.engine.wait_while_frozen().await;
         let output = Rc::clone(&self.reader.0);
         let until = output
             .produced
@@ -109,7 +110,7 @@
     write_json(chunk, &frame);
 }
 
-/// Writes how the stream ended; whether it has.
+/// Writes the stream's last event. Returns false if it has not ended.
 fn write_end(chunk: &mut Vec<u8>, end: Option<End>) -> bool {
     match end {
         None => return false,
@@ -125,7 +126,7 @@
 }
 
 fn write_json(chunk: &mut Vec<u8>, value: &impl Serialize) {
-    // Writing these plain structs into memory can't fail.
+    // Serialising these structs to a `Vec` cannot fail.
     let _ = serde_json::to_writer(&mut *chunk, value);
     chunk.extend_from_slice(b"\n\n");
 }
--- a/crates/standin/src/engine/submit.rs
+++ b/crates/standin/src/engine/submit.rs
@@ -1,4 +1,4 @@
-//! Taking in answers, segments and reservations, or refusing them.
+//! Submission and cancellation of answers and segments.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 use super::state::{Engine, State};
 use crate::answer::length_tokens;
 
-/// What the headers of a request say.
+/// Parsed headers of a completion request.
 #[derive(Debug)]
 pub(crate) struct RequestHead {
     pub(crate) request: RequestId,
@@ -30,19 +30,20 @@
     request: RequestId,
     attempt: Attempt,
     tokens: u64,
-    /// Prompt before the segment, computed on other engines, in tokens.
+    /// Part of the prompt that precedes the segment, computed by other engines,
+    /// in tokens.
     #[serde(default)]
     offset_tokens: u64,
     priority: u8,
 }
 
 impl Engine {
-    /// Queues an answer; the reader it is for.
+    /// Queues an answer and returns its reader.
     pub(crate) fn submit(&self, head: RequestHead, prompt: Prompt) -> Result<Reader, Refusal> {
         let mut state = self.state.borrow_mut();
         state.check_answer(&head, &prompt.model)?;
         let plan = plan_answer(&prompt, head.resume_offset)?;
-        let share_tokens = self.take_share(&mut state, &head, &plan)?;
+        let share_tokens = self.allocate_share(&mut state, &head, &plan)?;
         let (rank, id) = self.next_rank(&mut state, head.priority);
         let key = (head.request.clone(), head.attempt);
         let output = Rc::new(Output::new(id.clone(), head.request, head.attempt, plan));
@@ -61,17 +62,18 @@
         drop(state);
         self.after_change();
         self.work.notify();
-        Ok(output.reader())
+        Ok(output.add_reader())
     }
 
     fn next_rank(&self, state: &mut State, priority: u8) -> (Rank, StreamId) {
-        let arrival = state.arrival();
+        let arrival = state.next_arrival();
         let rank = Rank { priority, arrival };
         (rank, format!("{:x}-{arrival:x}", self.incarnation))
     }
 
-    /// Prefill that this engine does for an answer, with its memory checked.
-    fn take_share(
+    /// Determines the tokens that this engine prefills for an answer, and takes
+    /// them from its reservation if it has one.
+    fn allocate_share(
         &self,
         state: &mut State,
         head: &RequestHead,
@@ -94,8 +96,8 @@
         let Some(reservation) = state.reservations.get_mut(id) else {
             return Err(Refusal::UnknownReservation(id.clone()));
         };
-        // What segments computed, here or on the group's other engines, is
-        // not computed again; this engine does the rest that fits.
+        // Segments, computed here or by other engines of the group, are not
+        // computed again; this engine prefills as much of the rest as fits.
         let room_tokens = reservation.free_tokens();
         let answer_tokens = u64::from(plan.max_tokens);
         if answer_tokens >= room_tokens {
@@ -113,7 +115,7 @@
         Ok(share_tokens)
     }
 
-    /// Queues a segment of a long prompt's prefill; the reader that waits.
+    /// Queues a segment of a long prompt and returns its reader.
     pub(crate) fn submit_segment(&self, request: SegmentRequest) -> Result<Reader, Refusal> {
         let mut state = self.state.borrow_mut();
         state.check_tombstone(&request.request, request.attempt)?;
@@ -150,10 +152,10 @@
         drop(state);
         self.after_change();
         self.work.notify();
-        Ok(output.reader())
+        Ok(output.add_reader())
     }
 
-    /// Cancels an attempt, also one that arrives later.
+    /// Cancels an attempt, including one that has not arrived yet.
     pub(crate) fn cancel(&self, request: &str, attempt: Attempt) {
         self.state
             .borrow_mut()
@@ -180,7 +182,7 @@
 
 impl State {
     fn check_answer(&self, head: &RequestHead, model: &str) -> Result<(), Refusal> {
-        self.check_open()?;
+        self.check_accepting()?;
         if !self.orders.serves(model) {
             return Err(Refusal::UnknownModel(model.to_owned()));
         }
@@ -191,7 +193,7 @@
         self.check_tombstone(&head.request, head.attempt)
     }
 
-    pub(crate) fn check_open(&self) -> Result<(), Refusal> {
+    pub(crate) fn check_accepting(&self) -> Result<(), Refusal> {
         if self.switches.leaving {
             return Err(Refusal::Leaving);
         }
--- a/crates/standin/src/engine/transfer.rs
+++ b/crates/standin/src/engine/transfer.rs
@@ -1,7 +1,7 @@
 //! Export and import of KV cache blocks.
 //!
-//! The payload stands for the tensors: a hash of each block. Its digest covers
-//! blocks and payload, so that a mix-up on the way is refused.
+//! The payload is a hash of each block in place of the tensors. A digest covers
+//! blocks and payload, so that a corrupted transfer is refused.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
 use super::cache_events::{from_hex, hex};
-use super::memory::BLOCK;
+use super::memory::TOKENS_PER_BLOCK;
 use super::state::Engine;
 
 /// Body of `POST /v1/kv/export`.
@@ -31,13 +31,13 @@
     payload: String,
 }
 
-/// Answer of an import.
+/// Response to an import.
 #[derive(Debug, Serialize)]
 pub(crate) struct Imported {
     tokens: u64,
 }
 
-/// Reason to refuse a transfer.
+/// Reason for refusing a transfer.
 #[derive(Debug, Error)]
 pub(crate) enum TransferError {
     #[error("block {0} is not 16 hex digits")]
@@ -47,7 +47,7 @@
 }
 
 impl Engine {
-    /// Exports those of the blocks that are present.
+    /// Exports those of the requested blocks that are present.
     pub(crate) async fn export(&self, request: &ExportRequest) -> Result<Export, TransferError> {
         let wanted = parse(&request.blocks)?;
         let present: Vec<BlockHash> = {
@@ -58,8 +58,8 @@
                 .filter(|hash| memory.contains(*hash))
                 .collect()
         };
-        let tokens = present.len() as u64 * BLOCK;
-        self.transfer(tokens).await;
+        let tokens = present.len() as u64 * TOKENS_PER_BLOCK;
+        self.simulate_transfer(tokens).await;
         let payload = payload(&present);
         Ok(Export {
             digest: hex(digest(&present, &payload)),
@@ -69,15 +69,16 @@
         })
     }
 
-    /// Takes exported blocks into the cache, as many as have room.
+    /// Adds exported blocks to the cache until there is no more room.
     pub(crate) async fn import(&self, export: &Export) -> Result<Imported, TransferError> {
         let blocks = parse(&export.blocks)?;
-        let genuine = export.digest == hex(digest(&blocks, &export.payload));
-        if !genuine || export.payload != payload(&blocks) {
+        let digest_matches = export.digest == hex(digest(&blocks, &export.payload));
+        if !digest_matches || export.payload != payload(&blocks) {
             return Err(TransferError::WrongDigest);
         }
-        self.transfer(blocks.len() as u64 * BLOCK).await;
-        let taken = {
+        self.simulate_transfer(blocks.len() as u64 * TOKENS_PER_BLOCK)
+            .await;
+        let imported = {
             let mut state = self.state.borrow_mut();
             let memory = &mut state.batch.memory;
             blocks
@@ -87,11 +88,11 @@
         };
         self.after_change();
         Ok(Imported {
-            tokens: taken as u64 * BLOCK,
+            tokens: imported as u64 * TOKENS_PER_BLOCK,
         })
     }
 
-    async fn transfer(&self, tokens: u64) {
+    async fn simulate_transfer(&self, tokens: u64) {
         let rate = self.settings.kv_transfer_tokens_per_s.max(1);
         let seconds = tokens as f64 / rate as f64 * self.settings.time_scale;
         let duration = Duration::try_from_secs_f64(seconds).unwrap_or_default();
