--- a/crates/standin/src/clock.rs
+++ b/crates/standin/src/clock.rs
@@ -1,10 +1,10 @@
-//! The scaled clock of the emulators.
+//! Time scaling of the emulators.
 
 use std::time::Duration;
 
-/// Duration of `duration_ms` on a clock scaled by `factor`.
+/// Returns `duration_ms` multiplied by `factor`.
 ///
-/// Zero when the factor is negative or the product is no duration.
+/// Zero if the product is negative or not a valid duration.
 pub(crate) fn scale(duration_ms: u64, factor: f64) -> Duration {
     let seconds = duration_ms as f64 / 1e3 * factor;
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,10 +1,10 @@
 //! Emulators of engines, services, platform and weight store.
 //!
-//! Owns the small processes that take the place of what mangofront meets in
-//! production. Each speaks its side of `docs/interfaces.md` over HTTP, has its
-//! own settings and a `run` function, and carries switches that bring about
-//! the failures that tests and experiments need. `cli` starts them as
-//! processes, `load` drives them; no other crate depends on them.
+//! Contains emulators of the systems that mangofront talks to in production.
+//! Each implements its side of `docs/interfaces.md` over HTTP and has its own
+//! settings, a `run` function and switches that inject the faults needed by
+//! tests and experiments. `cli` starts them as processes, `load` drives them; no
+//! other crate depends on them.
 
 pub mod answer;
 mod clock;
--- a/crates/standin/src/limits.rs
+++ b/crates/standin/src/limits.rs
@@ -1,11 +1,11 @@
-//! Limits of the emulators that the daemon keeps connections to.
+//! HTTP server limits of the emulators to which daemons keep connections.
 
 use std::time::Duration;
 
 use mangofront_http::ServeLimits;
 
-/// Wider than those of a daemon: an emulator must not close a connection that
-/// the daemon under test still counts on.
+/// Wider than those of a daemon, as an emulator must not close a connection that
+/// the daemon under test may still use.
 pub(crate) const LIMITS: ServeLimits = ServeLimits {
     header_timeout: Duration::from_secs(30),
     header_limit_bytes: 400 * 1024,
--- a/crates/standin/src/notify.rs
+++ b/crates/standin/src/notify.rs
@@ -1,13 +1,13 @@
-//! Wake-up of the tasks of one thread that wait for a change of shared state.
+//! Single-threaded notification of changes to shared state.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// Counter of changes that tasks can wait on.
+/// Change counter on which tasks can wait.
 ///
-/// A waiter reads [`Notify::generation`] before it looks at the state and then
-/// waits for a later one, so a change between the look and the wait is seen.
+/// A waiter reads [`Notify::generation`] before the state and then waits for a
+/// later generation, so a change between the read and the wait is not missed.
 #[derive(Debug, Default)]
 pub(crate) struct Notify {
     generation: Cell<u64>,
@@ -20,7 +20,7 @@
         self.generation.get()
     }
 
-    /// Counts a change and wakes every waiter.
+    /// Records a change and wakes all waiters.
     pub(crate) fn notify(&self) {
         self.generation.set(self.generation.get() + 1);
         let wakers = self.wakers.take();
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Waits until a change after generation `seen`.
+    /// Waits for a change after generation `seen`.
     pub(crate) async fn changed(&self, seen: u64) {
         poll_fn(|context| {
             if self.generation.get() != seen {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,10 +1,9 @@
-//! Emulator of the platform: a configuration and an instance list with
-//! revisions, to be read and watched.
+//! Emulator of the platform, which serves a configuration and an instance list
+//! with revisions, to reads and watches.
 //!
-//! What is published is kept as its bytes and never looked into: an invalid
-//! value is one of the faults that the daemons are tested with. The faults of
-//! the service itself (down, stale, watches that hang, lag) are switches of
-//! `POST /control`, see `docs/interfaces.md`.
+//! Published values are opaque bytes and not validated, as daemons are tested
+//! with invalid ones. The faults of the service itself (down, stale, watches that
+//! hang, lag) are switches of `POST /control`, see `docs/interfaces.md`.
 
 mod answers;
 mod published;
@@ -24,25 +23,25 @@
 
 use answers::{document, down, error, refusal, status};
 use published::Published;
-use rate::RateCap;
+use rate::RateLimit;
 
-/// Largest value that can be published, in bytes; above what the platform
-/// holds, so that a value that is too large can be tested.
+/// Maximum size of a published value, in bytes. Above the limit of the real
+/// platform, so that tests can publish a value that is too large.
 const PUBLISH_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 
 /// Settings of the platform emulator.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// First configuration, published at the start; none by default.
+    /// Configuration published at start; none by default.
     pub configuration: Option<serde_json::Value>,
-    /// First instance list, published at the start; none by default.
+    /// Instance list published at start; none by default.
     pub instances: Option<serde_json::Value>,
-    /// Revision of the first value that is published, 1 by default.
+    /// Revision of the first published value; 1 by default.
     pub first_revision: u64,
-    /// Most calls answered in a second, 429 past it; 2000 by default.
+    /// Calls served per second, beyond which the status is 429; 2000 by default.
     pub reads_per_s: u32,
-    /// Longest wait of a watch, in milliseconds; 60000 by default.
+    /// Maximum wait of a watch, in milliseconds; 60000 by default.
     pub wait_limit_ms: u64,
 }
 
@@ -58,7 +57,7 @@
     }
 }
 
-/// Body of `POST /control`: each field that is present sets its switch.
+/// Body of `POST /control`; absent fields leave their switches unchanged.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Control {
@@ -69,7 +68,7 @@
     instances_lag_ms: Option<u64>,
 }
 
-/// Switches as they stand.
+/// Current state of the switches.
 #[derive(Debug, Default)]
 struct Switches {
     down: Cell<bool>,
@@ -77,14 +76,14 @@
     hang_watches: Cell<bool>,
 }
 
-/// Calls so far; a waiting watch is one call, whatever the time it waits.
+/// Numbers of calls so far; a watch counts once, however long it waits.
 #[derive(Debug, Default, Serialize)]
 struct Counters {
     reads: u64,
     watches: u64,
 }
 
-/// Query of a read; a watch has `wait_ms`.
+/// Query parameters of a read or, with `wait_ms`, of a watch.
 #[derive(Debug, Default, Clone, Copy)]
 struct Query {
     after: Option<u64>,
@@ -96,7 +95,7 @@
     instances: RefCell<Published>,
     switches: Switches,
     counters: RefCell<Counters>,
-    rate: RateCap,
+    rate: RateLimit,
     wait_limit_ms: u64,
     shutdown: Shutdown,
 }
@@ -110,7 +109,7 @@
     let state = Rc::new(State::new(&settings, shutdown.clone()));
     let handler = move |request, _peer| {
         let state = Rc::clone(&state);
-        async move { state.answer(request).await }
+        async move { state.handle(request).await }
     };
     mangofront_http::serve(listener, ServeLimits::default(), handler, shutdown).await;
 }
@@ -126,13 +125,13 @@
             instances: published(&settings.instances),
             switches: Switches::default(),
             counters: RefCell::default(),
-            rate: RateCap::new(settings.reads_per_s),
+            rate: RateLimit::new(settings.reads_per_s),
             wait_limit_ms: settings.wait_limit_ms,
             shutdown,
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
             (&Method::GET, "/v1/configuration") => self.read(&self.configuration, &request).await,
@@ -147,7 +146,7 @@
         }
     }
 
-    /// Counts and answers one read or watch.
+    /// Counts and serves a read or watch.
     async fn read(
         &self,
         published: &RefCell<Published>,
@@ -161,7 +160,7 @@
             );
         };
         self.count(query);
-        if !self.rate.take(Instant::now()) {
+        if !self.rate.try_take(Instant::now()) {
             let error = error("rate_limited", "too many reads").retry_after(rate::WINDOW);
             return error.into_response(StatusCode::TOO_MANY_REQUESTS);
         }
@@ -186,7 +185,8 @@
         }
     }
 
-    /// The value as soon as its revision differs from `after`, 204 past `wait`.
+    /// Responds with the value once its revision differs from `after`, or with 204
+    /// after `wait`.
     async fn value_after(
         &self,
         published: &RefCell<Published>,
@@ -213,15 +213,15 @@
             if now >= deadline {
                 return status(StatusCode::NO_CONTENT);
             }
-            let (change, next) = {
+            let (change, next_visible_at) = {
                 let mut published = published.borrow_mut();
                 (published.changed(), published.next_visible(now))
             };
-            let wake = next.map_or(deadline, |next| next.min(deadline));
-            let pause = wake.saturating_duration_since(now);
-            // A change, a value that becomes visible and the end of the wait
-            // all lead to another look.
-            let _ = compio::time::timeout(pause, change).await;
+            let wake_at = next_visible_at.map_or(deadline, |next| next.min(deadline));
+            let remaining = wake_at.saturating_duration_since(now);
+            // The loop checks again after a change, when a value becomes visible
+            // and at the end of the wait.
+            let _ = compio::time::timeout(remaining, change).await;
         }
     }
 
--- a/crates/standin/src/platform/answers.rs
+++ b/crates/standin/src/platform/answers.rs
@@ -1,11 +1,11 @@
-//! Answers of the platform emulator.
+//! Responses of the platform emulator.
 
 use http::{HeaderValue, Response, StatusCode, header};
 use mangofront_http::{Body, ErrorBody, Outcome};
 
 use super::published::Visible;
 
-/// `{"revision", "value"}` around the published bytes as they are.
+/// Response `{"revision", "value"}` that contains the published bytes unchanged.
 pub(super) fn document(visible: &Visible) -> Response<Body> {
     let mut content = format!("{{\"revision\": {}, \"value\": ", visible.revision).into_bytes();
     content.extend_from_slice(&visible.value);
--- a/crates/standin/src/platform/published.rs
+++ b/crates/standin/src/platform/published.rs
@@ -1,15 +1,15 @@
-//! One published value: its history, and what of it a reader sees.
+//! Published value with its history and visibility to readers.
 
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use futures_channel::oneshot;
 
-/// History of one value, and the watches that wait for its next change.
+/// History of a value, and the watches that wait for its next change.
 #[derive(Debug)]
 pub(super) struct Published {
     first_revision: u64,
-    /// In order of revision, without a gap.
+    /// Ordered by revision, without gaps.
     values: Vec<Entry>,
     lag: Duration,
     waiting: Vec<oneshot::Sender<()>>,
@@ -21,7 +21,7 @@
     published_at: Instant,
 }
 
-/// What a reader gets.
+/// Revision visible to a reader.
 #[derive(Debug)]
 pub(super) struct Visible {
     pub(super) revision: u64,
@@ -42,7 +42,7 @@
         published
     }
 
-    /// Adds `value` as the next revision, which is returned.
+    /// Adds `value` as the next revision and returns its number.
     pub(super) fn publish(&mut self, value: Bytes, now: Instant) -> u64 {
         let revision = self.revision(self.values.len());
         self.values.push(Entry {
@@ -53,8 +53,8 @@
         revision
     }
 
-    /// Newest value older than the lag; the first one when `stale` or when
-    /// none is old enough.
+    /// Returns the newest value at least as old as the lag, or the first one if
+    /// `stale` or if none is old enough.
     pub(super) fn visible(&self, now: Instant, stale: bool) -> Option<Visible> {
         let newest = self
             .values
@@ -68,7 +68,7 @@
         })
     }
 
-    /// When the next value that is hidden by the lag becomes visible.
+    /// Time at which the next value hidden by the lag becomes visible.
     pub(super) fn next_visible(&self, now: Instant) -> Option<Instant> {
         let times = self
             .values
@@ -85,7 +85,8 @@
         receiver
     }
 
-    /// Sets the lag when there is one, and wakes the watches in any case.
+    /// Sets the lag if given, and wakes the watches in any case, as other
+    /// switches may have changed.
     pub(super) fn set_lag(&mut self, lag: Option<Duration>) {
         self.lag = lag.unwrap_or(self.lag);
         self.wake();
@@ -97,7 +98,7 @@
 
     fn wake(&mut self) {
         for waiting in self.waiting.drain(..) {
-            // A watch whose caller went away has nothing to learn.
+            // The receiver is gone if the caller of the watch disconnected.
             let _ = waiting.send(());
         }
     }
--- a/crates/standin/src/platform/rate.rs
+++ b/crates/standin/src/platform/rate.rs
@@ -1,37 +1,37 @@
-//! Cap on the calls of a second.
+//! Limit on the calls per second.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Time over which calls are counted.
+/// Window over which calls are counted.
 pub(super) const WINDOW: Duration = Duration::from_secs(1);
 
 /// Counts the calls of the current window.
 #[derive(Debug)]
-pub(super) struct RateCap {
+pub(super) struct RateLimit {
     calls_per_window: u32,
     window_start: Cell<Option<Instant>>,
-    taken: Cell<u32>,
+    calls: Cell<u32>,
 }
 
-impl RateCap {
+impl RateLimit {
     pub(super) fn new(calls_per_window: u32) -> Self {
         Self {
             calls_per_window,
             window_start: Cell::new(None),
-            taken: Cell::new(0),
+            calls: Cell::new(0),
         }
     }
 
-    /// Takes one call of the window at `now`; false when it has none left.
-    pub(super) fn take(&self, now: Instant) -> bool {
+    /// Counts one call at `now`. Returns false if it exceeds the limit.
+    pub(super) fn try_take(&self, now: Instant) -> bool {
         let start = self.window_start.get();
         if start.is_none_or(|start| now.duration_since(start) >= WINDOW) {
             self.window_start.set(Some(now));
-            self.taken.set(0);
+            self.calls.set(0);
         }
-        let taken = self.taken.get();
-        self.taken.set(taken.saturating_add(1));
-        taken < self.calls_per_window
+        let calls = self.calls.get();
+        self.calls.set(calls.saturating_add(1));
+        calls < self.calls_per_window
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,8 +1,8 @@
-//! Emulator of a service: answers after a delay and counts each call
-//! that it executed by idempotency key.
+//! Emulator of a service, which responds after a delay and counts executed calls
+//! by idempotency key.
 //!
-//! A call is executed at one moment, without a wait in between: what stands
-//! before it is undone by a broken connection, what stands after it is not.
+//! A call is executed without an await point: if its connection breaks earlier,
+//! the call is not executed; if it breaks later, the call remains executed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,16 +20,17 @@
 
 use crate::limits::LIMITS;
 
-/// Largest body of a call, in bytes.
+/// Maximum body size of a call, in bytes.
 const BODY_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
 /// Settings of the service emulator.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceSettings {
-    /// Name that it answers with, `service` by default.
+    /// Service name in the responses, `service` by default.
     pub service: String,
-    /// Time from a call's execution to its answer, in milliseconds; 20 by default.
+    /// Delay between execution and response of a call, in milliseconds; 20 by
+    /// default.
     pub delay_ms: u64,
 }
 
@@ -42,26 +43,26 @@
     }
 }
 
-/// Body of `POST /control`: each field that is present sets its switch.
+/// Body of `POST /control`; absent fields leave their switches unchanged.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Control {
     delay_ms: Option<u64>,
-    /// Status of every answer; 0 or 200 ends the fault.
+    /// Status of every response; 0 or 200 ends the fault.
     fail_status: Option<u16>,
     break_after_run: Option<bool>,
     break_before_run: Option<bool>,
     leaving: Option<bool>,
 }
 
-/// Executed calls.
+/// Counts of executed calls.
 #[derive(Debug, Default, Serialize)]
 struct Counters {
     total: u64,
     by_key: BTreeMap<String, u64>,
 }
 
-/// Answer to an executed call.
+/// Response to an executed call.
 #[derive(Debug, Serialize)]
 struct Executed<'a> {
     service: &'a str,
@@ -98,16 +99,16 @@
     });
     let handler = move |request, _peer| {
         let state = Rc::clone(&state);
-        async move { state.answer(request).await }
+        async move { state.handle(request).await }
     };
-    // Only single connections are cut off: nothing aborts the whole service.
-    let (never, abort) = Shutdown::new();
+    // Faults abort single connections; nothing aborts the whole server.
+    let (never_triggered, abort) = Shutdown::new();
     serve_abortable(listener, LIMITS, handler, StopSignals { shutdown, abort }).await;
-    drop(never);
+    drop(never_triggered);
 }
 
 impl State {
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Aborted> {
+    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, Aborted> {
         match (request.method(), request.uri().path()) {
             (&Method::POST, "/control") => Ok(self.control(request).await),
             (&Method::GET, "/control/counters") => {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// One call: read whole, executed, answered after the delay.
+    /// Reads a call to its end, executes it, and responds after the delay.
     async fn call(&self, request: Request<Incoming>) -> Result<Response<Body>, Aborted> {
         let (head, body) = request.into_parts();
         if let Err(error) = mangofront_http::collect(body, BODY_LIMIT_BYTES).await {
@@ -157,7 +158,8 @@
         Ok(mangofront_http::json(StatusCode::OK, &answer))
     }
 
-    /// Runs the call: counts it, and tells how often its key ran.
+    /// Executes a call by counting it, and returns the number of executions with
+    /// its key.
     fn execute(&self, key: Option<&str>) -> u64 {
         let mut counters = self.counters.borrow_mut();
         counters.total += 1;
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! Emulated weight store, rate-limited, and the fetch from it.
+//! Emulated rate-limited weight store, and its client.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -14,28 +14,28 @@
 
 use crate::clock::scale;
 
-/// Pause after a fetch that failed, also when the store names none.
-const FETCH_PAUSE: Duration = Duration::from_secs(1);
+/// Delay before a retry if the store is unreachable or sends no `Retry-After`.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Largest share by which a pause is drawn out at random.
+/// Upper bound of the random extension of a retry delay, as a fraction of it.
 const RETRY_JITTER: f64 = 0.25;
 
-/// Longest pause that a store can ask for.
-const LONGEST_PAUSE: Duration = Duration::from_secs(600);
+/// Upper bound on the retry delay that a store can request.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(600);
 
 /// Settings of the emulated weight store.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WeightsSettings {
-    /// Fetches that are let through each minute, on average. An assumption:
-    /// the users say only that the store is rate-limited.
+    /// Sustained rate limit, in fetches per minute. The limit of the real store
+    /// is not known, only that it has one.
     pub fetches_per_minute: f64,
-    /// Fetches that are let through at once after a rest.
+    /// Number of fetches allowed in a burst after an idle period.
     pub burst_fetches: f64,
-    /// Time of one transfer, in milliseconds. 70 GB, the assumed model, take
-    /// 5.6 seconds at 100 Gbit/s.
+    /// Time of one transfer, in milliseconds. The default assumes a model of
+    /// 70 GB, which takes 5.6 seconds at 100 Gbit/s.
     pub transfer_time_ms: u64,
-    /// Factor on the transfer time and on the rate limit's clock.
+    /// Factor on the transfer time and on the intervals of the rate limit.
     pub time_scale: f64,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Counters that `GET /control/counters` tells.
+/// Response to `GET /control/counters`.
 #[derive(Debug, Default, Clone, Copy, Serialize)]
 struct Counters {
     served: u64,
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Takes one fetch, or tells how long until there is one.
-    fn take(&mut self, now: Instant) -> Result<(), Duration> {
+    /// Takes one fetch from the bucket, or returns the time until one is available.
+    fn try_take(&mut self, now: Instant) -> Result<(), Duration> {
         let per_second = self.per_second();
         let age = now.saturating_duration_since(self.filled_at);
         let filled = self.fetches + age.as_secs_f64() * per_second;
@@ -117,9 +117,9 @@
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     match (request.method(), parts.as_slice()) {
         (&Method::GET, ["v1", "weights", model, version]) => {
-            let taken = store.borrow_mut().take(Instant::now());
-            if let Err(wait) = taken {
-                return past_rate(wait);
+            let permit = store.borrow_mut().try_take(Instant::now());
+            if let Err(wait) = permit {
+                return rate_limited(wait);
             }
             let transfer_time = store.borrow().transfer_time();
             compio::time::sleep(transfer_time).await;
@@ -134,18 +134,18 @@
     }
 }
 
-fn past_rate(wait: Duration) -> Response<Body> {
+fn rate_limited(wait: Duration) -> Response<Body> {
     ErrorBody::new("busy", Outcome::NotRun, "fetch", "rate limit is reached")
         .retry_after(wait)
         .into_response(StatusCode::TOO_MANY_REQUESTS)
 }
 
-/// Why one try to fetch gave nothing.
+/// Reason for which a fetch attempt failed.
 #[derive(Debug, Error)]
 enum FetchError {
-    #[error("weight store {peer} was not reached: {message}")]
+    #[error("weight store {peer} is unreachable: {message}")]
     Unreachable { peer: SocketAddr, message: String },
-    #[error("weight store {peer} answered {status}")]
+    #[error("weight store {peer} returned status {status}")]
     Refused {
         peer: SocketAddr,
         status: StatusCode,
@@ -153,18 +153,18 @@
     },
 }
 
-/// Fetches weights from the store at `address`, however often it takes.
+/// Fetches weights from the store at `address`, retrying until it succeeds.
 pub(crate) async fn fetch(address: SocketAddr, model: &str, version: &str) {
     let url = format!("http://{address}/v1/weights/{model}/{version}");
     while let Err(error) = try_fetch(address, &url).await {
         log::info!("standin engine: {error}");
-        let pause = match error {
-            FetchError::Unreachable { .. } => FETCH_PAUSE,
+        let retry_delay = match error {
+            FetchError::Unreachable { .. } => DEFAULT_RETRY_DELAY,
             FetchError::Refused { retry_after, .. } => retry_after,
         };
-        // Engines that were refused together come back apart.
+        // Jitter spreads the retries of engines that were refused at the same time.
         let jitter = rand::random_range(0.0..RETRY_JITTER);
-        compio::time::sleep(pause.mul_f64(1.0 + jitter)).await;
+        compio::time::sleep(retry_delay.mul_f64(1.0 + jitter)).await;
     }
 }
 
@@ -195,7 +195,7 @@
 fn retry_after(headers: &http::HeaderMap) -> Duration {
     let value = headers.get(header::RETRY_AFTER);
     let seconds = value.and_then(|value| value.to_str().ok()?.parse().ok());
-    seconds.map_or(FETCH_PAUSE, |seconds| {
-        Duration::from_secs(seconds).min(LONGEST_PAUSE)
+    seconds.map_or(DEFAULT_RETRY_DELAY, |seconds| {
+        Duration::from_secs(seconds).min(MAX_RETRY_DELAY)
     })
 }
