--- a/crates/standin/tests/engine_faults.rs
+++ b/crates/standin/tests/engine_faults.rs
@@ -1,4 +1,4 @@
-//! Switches of the emulated engine that bring about faults.
+//! Fault injection switches of the emulated engine.
 
 #![allow(clippy::unwrap_used, reason = "a helper that fails ends its test")]
 
@@ -13,7 +13,7 @@
 use support::{Completion, TestEngine, drain, events, frames, settings};
 
 #[compio::test]
-async fn engine_dies_in_mid_stream() {
+async fn engine_crashes_mid_stream() {
     let engine = TestEngine::start(settings()).await;
     engine.control(json!({"die_after_tokens": 5})).await;
     let response = engine.submit(&Completion::new("broken", 100, 1000)).await;
@@ -26,7 +26,7 @@
 }
 
 #[compio::test]
-async fn frozen_engine_neither_answers_nor_steps() {
+async fn frozen_engine_neither_responds_nor_steps() {
     let engine = TestEngine::start(settings()).await;
     let mut stream = events(engine.submit(&Completion::new("held", 10, 15_000)).await);
     frames(&mut stream, 1).await;
@@ -44,7 +44,7 @@
 }
 
 #[compio::test]
-async fn cache_events_come_late_and_with_gaps() {
+async fn cache_events_are_delayed_and_have_gaps() {
     let engine = TestEngine::start(settings()).await;
     let switches = json!({"cache_event_delay_ms": 200});
     engine.control(switches).await;
@@ -99,13 +99,13 @@
         .filter(|event| event["kind"] == "evicted")
         .collect();
     assert_eq!(evicted.len(), 1);
-    // "one" was used again after "two", the second block stored.
+    // "one" was used again after "two", which was stored second.
     assert_eq!(evicted[0]["blocks"], log[1]["blocks"]);
     engine.wait_until_idle().await;
 }
 
 #[compio::test]
-async fn load_lags_and_may_be_nonsense() {
+async fn load_report_lags_and_may_be_implausible() {
     let mut settings = settings();
     settings.time_scale = 10.0;
     let engine = TestEngine::start(settings).await;
@@ -134,7 +134,7 @@
 }
 
 #[compio::test]
-async fn planned_stop_ends_streams_whole() {
+async fn shutdown_lets_streams_complete() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let url = format!("http://{}/v1/completions", listener.local_addr().unwrap());
     let (trigger, shutdown) = Shutdown::new();
--- a/crates/standin/tests/engine_orders.rs
+++ b/crates/standin/tests/engine_orders.rs
@@ -49,7 +49,7 @@
 }
 
 #[compio::test]
-async fn a_segment_attends_to_what_comes_before_it() {
+async fn segment_attends_to_the_preceding_context() {
     let mut settings = settings();
     settings.time_scale = 1.0;
     settings.step.base_us = 0.0;
@@ -64,15 +64,15 @@
         assert_eq!(engine.call("POST", "/v1/segments", body).await.0, 200);
         began.elapsed()
     };
-    // Ten and a half thousand tokens of context on average make 525 ms, half a
-    // thousand 25; steps are never shorter than they should be by more than 50.
+    // A mean context of 10.5 thousand tokens takes 525 ms, one of 0.5 thousand
+    // 25 ms; compensated lateness shortens steps by at most 50 ms.
     compute("first", 0).await;
     let later = compute("later", 10_000).await;
     assert!(later.as_millis() >= 475, "{later:?}");
 }
 
 #[compio::test]
-async fn lease_that_runs_out_frees_memory_and_ends_its_work() {
+async fn expired_lease_frees_memory_and_ends_its_sequences() {
     let mut settings = settings();
     settings.time_scale = 10.0;
     let engine = TestEngine::start(settings).await;
@@ -197,7 +197,7 @@
 }
 
 #[compio::test]
-async fn store_refuses_past_its_rate_with_a_time_to_come_back() {
+async fn store_refuses_above_its_rate_with_a_retry_delay() {
     let store = WeightsSettings {
         fetches_per_minute: 1.0,
         burst_fetches: 2.0,
--- a/crates/standin/tests/engine_queue.rs
+++ b/crates/standin/tests/engine_queue.rs
@@ -1,4 +1,4 @@
-//! Order of work, shortage of memory, and refusals of the emulated engine.
+//! Scheduling order, memory pressure and refusals of the emulated engine.
 
 #![allow(clippy::unwrap_used, reason = "a helper that fails ends its test")]
 
@@ -64,7 +64,7 @@
 #[compio::test]
 async fn smaller_request_does_not_overtake_one_that_waits_for_memory() {
     let mut settings = settings();
-    // No step ends within the test.
+    // A step takes longer than the test.
     settings.time_scale = 1e4;
     let engine = TestEngine::start(settings).await;
     let first = engine.submit(&Completion::new("first", 15_000, 10)).await;
@@ -104,14 +104,15 @@
     let answer = support::body(refused).await;
     assert_eq!(answer["error"]["code"], "busy");
     assert_eq!(answer["error"]["outcome"], "not_run");
-    // The waiting one holds no memory, so the cancel of both frees it all.
+    // The waiting request holds no memory, so all of it is free after both are
+    // cancelled.
     engine.cancel("running", 1).await;
     engine.cancel("waiting", 1).await;
     engine.wait_until_idle().await;
 }
 
 #[compio::test]
-async fn hundreds_of_streams_on_several_engines_each_get_their_own_answer() {
+async fn hundreds_of_streams_on_several_engines_get_their_own_answers() {
     let mut engines = Vec::new();
     for _ in 0..3 {
         let mut settings = settings();
--- a/crates/standin/tests/engine_random.rs
+++ b/crates/standin/tests/engine_random.rs
@@ -1,4 +1,4 @@
-//! Random sequences of calls, after which the engine's memory must be back.
+//! Random sequences of calls, after which all memory of the engine must be free.
 
 #![allow(clippy::unwrap_used, reason = "a helper that fails ends its test")]
 
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use support::{Completion, TestEngine, events, frames, settings};
 
-/// Cases that are tried; each takes some tens of milliseconds.
+/// Number of random cases; each takes some tens of milliseconds.
 const CASES: u64 = 40;
 
 #[derive(Debug, Clone)]
@@ -74,7 +74,8 @@
     }
 }
 
-/// Streams that are read or were stopped, by the number of their request.
+/// State of one case; `streams` is indexed by request number, with `None` for
+/// streams that are no longer read.
 struct Run {
     engine: TestEngine,
     streams: Vec<Option<support::Events>>,
@@ -136,7 +137,7 @@
     }
 }
 
-fn memory_returns(calls: Vec<Call>) -> bool {
+fn all_memory_is_freed(calls: Vec<Call>) -> bool {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let mut settings = settings();
@@ -151,7 +152,7 @@
         for call in &calls {
             run.apply(call).await;
         }
-        // Half of the callers stay and read, the others vanish.
+        // Every other caller disconnects; the rest keep their streams open.
         for index in (0..run.streams.len()).step_by(2) {
             run.streams[index] = None;
         }
@@ -161,11 +162,11 @@
 }
 
 #[test]
-fn memory_returns_after_any_sequence_of_calls() {
+fn all_memory_is_freed_after_random_calls() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 20_260))
         .tests(CASES)
-        .quickcheck(memory_returns as fn(Vec<Call>) -> bool);
+        .quickcheck(all_memory_is_freed as fn(Vec<Call>) -> bool);
 }
 
 #[compio::test]
--- a/crates/standin/tests/engine_session.rs
+++ b/crates/standin/tests/engine_session.rs
@@ -1,4 +1,4 @@
-//! Golden session with an emulated engine.
+//! Snapshot of a session with an emulated engine.
 
 #![allow(clippy::unwrap_used, reason = "a helper that fails ends its test")]
 
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use support::{Completion, TestEngine, drain, events, settings};
 
-/// Calls of one session and what they were answered, one after the other.
+/// Log of the calls of a session and their responses.
 struct Session {
     engine: TestEngine,
     log: String,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Blanks what depends on the clock.
+/// Masks values that depend on the clock.
 fn normalise(value: &mut Value) {
     for field in [
         "sequence",
--- a/crates/standin/tests/engine_streams.rs
+++ b/crates/standin/tests/engine_streams.rs
@@ -1,4 +1,4 @@
-//! Resume, cancel and lost readers of the emulated engine's streams.
+//! Resumption, cancellation and disconnected readers of the engine's streams.
 
 #![allow(clippy::unwrap_used, reason = "a helper that fails ends its test")]
 
@@ -56,7 +56,7 @@
     wait_for(async || engine.counter("cancelled").await == 1).await;
     engine.wait_until_idle().await;
     wait_for(async || engine.call("GET", &path, Value::Null).await.0 == 404).await;
-    // The engine has forgotten the stream, yet never calls it "not run".
+    // The engine has removed the stream, but must not report it as "not run".
     let again = engine.submit(&Completion::new("lost", 10, 10_000)).await;
     assert_eq!(again.status().as_u16(), 409);
     let answer = support::body(again).await;
@@ -64,7 +64,7 @@
 }
 
 #[compio::test]
-async fn cancel_that_comes_first_kills_the_request() {
+async fn cancel_before_arrival_prevents_the_request() {
     let engine = TestEngine::start(settings()).await;
     engine.cancel("early", 1).await;
     engine.cancel("early", 1).await;
@@ -82,7 +82,7 @@
 }
 
 #[compio::test]
-async fn cancel_frees_memory_in_mid_stream() {
+async fn cancel_frees_memory_mid_stream() {
     let mut settings = settings();
     settings.time_scale = 1.0;
     let engine = TestEngine::start(settings).await;
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Sessions with the platform emulator, and its faults.
+//! Sessions with the platform emulator, and its fault switches.
 
 mod session;
 
@@ -17,7 +17,7 @@
         Self(Session::start(run).await)
     }
 
-    /// One exchange, as a line of a session.
+    /// Makes one call and returns it with its response as a line of the session.
     async fn exchange(&self, method: &str, path: &str, body: &str) -> String {
         let answer = self.0.call(method, path, &[], body).await.expect("answer");
         format!("{method} {path} {body}\n  {answer}\n")
@@ -121,7 +121,7 @@
 async fn reads_past_the_cap_are_refused() {
     let standin = Standin::start(r#"{"configuration": 1, "reads_per_s": 2}"#).await;
     let mut refused = 0;
-    // Three calls within one second are certain to be among these.
+    // At least three of these calls fall within one second.
     for _ in 0..50 {
         let answer = standin.get("/v1/configuration").await;
         refused += usize::from(answer.contains("429"));
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! Sessions with the service emulator, and its faults.
+//! Sessions with the service emulator, and its fault switches.
 
 mod session;
 
@@ -17,7 +17,7 @@
         Self(Session::start(run).await)
     }
 
-    /// One exchange, as a line of a session.
+    /// Makes one call and returns it with its response as a line of the session.
     async fn exchange(&self, method: &str, path: &str, key: &str, body: &str) -> String {
         let named = [(headers::IDEMPOTENCY_KEY, key)];
         let answer = self.0.call(method, path, &named, body).await;
--- a/crates/standin/tests/session/mod.rs
+++ b/crates/standin/tests/session/mod.rs
@@ -1,4 +1,4 @@
-//! An emulator on loopback, and single calls of it.
+//! Runs an emulator on loopback and calls it.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use http::Method;
 use mangofront_http::{Shutdown, ShutdownTrigger};
 
-/// A running emulator.
+/// Running emulator with a client.
 pub struct Session {
     address: SocketAddr,
     client: cyper::Client,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Status and body of an answer; an error when the connection broke.
+    /// Returns status and body of a response, or an error if the connection broke.
     pub async fn call(
         &self,
         method: &str,
@@ -54,6 +54,6 @@
     pub async fn stop(self) {
         self.trigger.trigger();
         drop(self.client);
-        self.running.await.expect("end of the emulator");
+        self.running.await.expect("emulator task panicked");
     }
 }
--- a/crates/standin/tests/settings.rs
+++ b/crates/standin/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the emulators read from JSON.
+//! Deserialisation of the emulator settings.
 
 #![allow(clippy::unwrap_used, reason = "a helper that fails ends its test")]
 
--- a/crates/standin/tests/support/mod.rs
+++ b/crates/standin/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An emulated engine on loopback and short ways to talk to it.
+//! Runs an emulated engine on loopback, with shorthands for its calls.
 
 #![allow(
     dead_code,
@@ -15,12 +15,12 @@
 use mangofront_standin::engine::{EngineSettings, run};
 use serde_json::{Value, json};
 
-/// Longest time for something to come true, far beyond what is expected.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// Timeout of waits, far above their expected duration.
+const TIMEOUT: Duration = Duration::from_secs(15);
 
 pub const INCARNATION: u64 = 0xabc;
 
-/// A running engine; dropped, it shuts down.
+/// Running engine that is shut down on drop.
 pub struct TestEngine {
     pub address: SocketAddr,
     pub client: cyper::Client,
@@ -28,7 +28,7 @@
     _shutdown: ShutdownTrigger,
 }
 
-/// Settings of a small, fast engine: a step takes about a millisecond.
+/// Settings of a small, fast engine with steps of about a millisecond.
 pub fn settings() -> EngineSettings {
     EngineSettings {
         model: "assist-llm".to_owned(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Sends one call; status and JSON body (null when it has none).
+    /// Sends one call and returns status and JSON body, null if there is none.
     pub async fn call(&self, method: &str, path: &str, body: Value) -> (u16, Value) {
         let response = self.send(method, path, &[], body).await;
         let status = response.status().as_u16();
@@ -109,7 +109,8 @@
         assert_eq!(self.call("DELETE", &path, Value::Null).await.0, 204);
     }
 
-    /// Waits until the engine holds no memory but cache, and checks its books.
+    /// Waits until no memory but cache is in use, checking that no invariant was
+    /// broken.
     pub async fn wait_until_idle(&self) {
         wait_for(async || {
             let counters = self.get("/control/counters").await;
@@ -120,7 +121,7 @@
     }
 }
 
-/// One request to `/v1/completions`.
+/// Request to `/v1/completions`.
 #[derive(Debug, Clone)]
 pub struct Completion {
     pub request: String,
@@ -133,7 +134,7 @@
 }
 
 impl Completion {
-    /// A request whose prompt has `prompt_tokens` and starts with its name.
+    /// Creates a request whose prompt has `prompt_tokens` and starts with its name.
     pub fn new(request: &str, prompt_tokens: usize, max_tokens: u32) -> Self {
         Self {
             request: request.to_owned(),
@@ -166,7 +167,7 @@
             .digest
     }
 
-    /// The text that the whole answer must have.
+    /// Expected text of the complete answer.
     pub fn answer(&self) -> String {
         mangofront_standin::answer::text(self.digest(), self.max_tokens)
     }
@@ -183,7 +184,7 @@
     Box::pin(mangofront_http::events(response.bytes_stream()))
 }
 
-/// Body of a JSON answer.
+/// Parses the body of a JSON response.
 pub async fn body(response: cyper::Response) -> Value {
     serde_json::from_str(&response.text().await.unwrap()).unwrap()
 }
@@ -192,18 +193,19 @@
 pub async fn frames(events: &mut Events, count: usize) -> Vec<Value> {
     let mut frames = Vec::new();
     while frames.len() < count {
-        let next = compio::time::timeout(PATIENCE, events.next()).await;
+        let next = compio::time::timeout(TIMEOUT, events.next()).await;
         let event = next.unwrap().unwrap().unwrap();
         frames.push(serde_json::from_str(&event.data).unwrap());
     }
     frames
 }
 
-/// Reads to the end; events as text, and whether the end was clean.
+/// Reads a stream to its end. Returns the event data and whether the stream
+/// ended without an error.
 pub async fn drain(mut events: Events) -> (Vec<String>, bool) {
     let mut all = Vec::new();
     loop {
-        let next = compio::time::timeout(PATIENCE, events.next()).await;
+        let next = compio::time::timeout(TIMEOUT, events.next()).await;
         let Some(event) = next.unwrap() else {
             return (all, true);
         };
@@ -214,7 +216,7 @@
     }
 }
 
-/// Text of frames, with their offsets checked to follow one another.
+/// Joins the text of frames, checking that their offsets are consecutive.
 pub fn joined_text(frames: &[Value], first_offset: u64) -> String {
     let mut text = String::new();
     for (index, frame) in frames.iter().enumerate() {
@@ -228,7 +230,7 @@
 pub async fn wait_for<F: Future<Output = bool>>(mut condition: impl FnMut() -> F) {
     let began = Instant::now();
     while !condition().await {
-        assert!(began.elapsed() < PATIENCE, "condition never came true");
+        assert!(began.elapsed() < TIMEOUT, "condition not met in time");
         compio::time::sleep(Duration::from_millis(5)).await;
     }
 }
