--- a/crates/standin/src/engine/submit.rs
+++ b/crates/standin/src/engine/submit.rs
@@ -54,7 +54,7 @@
         }
         sequence.context_tokens = prompt.length_tokens.saturating_sub(share_tokens);
         let deadline = head.deadline;
-        sequence.deadline = deadline.and_then(|left| Instant::now().checked_add(left));
+        sequence.deadline = deadline.and_then(|remaining| Instant::now().checked_add(remaining));
         state.batch.waiting.insert(rank, sequence);
         state.streams.insert(id.clone(), Rc::clone(&output));
         state.attempts.insert(key, id);
@@ -107,10 +107,10 @@
                 room_tokens,
             });
         }
-        let left_tokens = plan
+        let remaining_tokens = plan
             .prompt_tokens
             .saturating_sub(reservation.computed_tokens);
-        let share_tokens = left_tokens.clamp(1, room_tokens - answer_tokens);
+        let share_tokens = remaining_tokens.clamp(1, room_tokens - answer_tokens);
         reservation.held_tokens += share_tokens + answer_tokens;
         Ok(share_tokens)
     }
--- a/crates/standin/tests/engine_queue.rs
+++ b/crates/standin/tests/engine_queue.rs
@@ -53,10 +53,10 @@
     assert_eq!(
         engine.counter("finished").await,
         1,
-        "the slow one is not done"
+        "the slow request must not have finished"
     );
-    let left = slow.max_tokens as usize - 2;
-    slow_frames.extend(frames(&mut slow_events, left).await);
+    let remaining = slow.max_tokens as usize - 2;
+    slow_frames.extend(frames(&mut slow_events, remaining).await);
     assert_eq!(joined_text(&slow_frames, 0), slow.answer());
     engine.wait_until_idle().await;
 }
