--- a/crates/load/src/capacity/mod.rs
+++ b/crates/load/src/capacity/mod.rs
@@ -11,21 +11,21 @@
 
 pub use plan::CapacityPlan;
 
-use crate::generator::{Record, generate};
+use crate::generator::{RunRecord, generate};
 use crate::process::{Usage, UsageError, UsageReport};
-use crate::report::{Counts, GeneratorReport, Report, RunFacts, build};
-use crate::requests::Requests;
+use crate::report::{Counts, GeneratorReport, Report, RunMetadata, build};
+use crate::requests::RequestFactory;
 use crate::scenario::{Endpoint, Kind, LengthRange, ModelKind, Scenario};
 use crate::schedule::{Plan, Schedule};
 use crate::text::fresh_salt;
-use crate::times::{Quantiles, Times};
+use crate::times::{LatencyHistogram, Quantiles};
 
 /// Share of requests that may be refused or fail in a step that is held.
-const ERROR_SHARE: f64 = 0.001;
+const MAX_ERROR_SHARE: f64 = 0.001;
 
 /// Lateness of the generator at p99 from which its step counts no more, in
 /// milliseconds.
-const LATENESS_LIMIT_MS: f64 = 20.0;
+const MAX_LATENESS_MS: f64 = 20.0;
 
 /// Result of the search.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -143,37 +143,37 @@
     step: u64,
 ) -> Result<StepReport, UsageError> {
     // Another seed in each step: a repeated prompt would be found cached.
-    let draws = Plan::new(rate_per_s, plan.step).seed(step + 1);
-    let requests = Requests::builder(scenario, plan.targets.clone())
+    let schedule_plan = Plan::new(rate_per_s, plan.step).seed(step + 1);
+    let requests = RequestFactory::builder(scenario, plan.targets.clone())
         .text_salt(fresh_salt())
         .rule(plan.rule)
         .build();
-    let facts = RunFacts::new(scenario, draws, &requests);
+    let metadata = RunMetadata::new(scenario, schedule_plan, &requests);
     let before = plan.pid.map(Usage::read).transpose()?;
-    let arrivals = Schedule::new(scenario, draws);
+    let arrivals = Schedule::new(scenario, schedule_plan);
     let cap = scenario.concurrency_cap;
     let record = generate(client.clone(), requests, cap, arrivals).await;
     let after = plan.pid.map(Usage::read).transpose()?;
     let usage = before
         .zip(after)
         .map(|(before, after)| after.since(&before, record.elapsed));
-    let report = build(&facts, &scenario.configuration, &record);
-    Ok(judge(plan, rate_per_s, report, &record, usage))
+    let report = build(&metadata, &scenario.configuration, &record);
+    Ok(step_report(plan, rate_per_s, report, &record, usage))
 }
 
-fn judge(
+fn step_report(
     plan: &CapacityPlan,
     rate_per_s: f64,
     report: Report,
-    record: &Record,
+    record: &RunRecord,
     usage: Option<UsageReport>,
 ) -> StepReport {
-    let first_tokens: Times = record
+    let first_tokens: LatencyHistogram = record
         .samples
         .iter()
         .filter_map(|s| s.first_token)
         .collect();
-    let totals: Times = record.samples.iter().map(|s| s.total).collect();
+    let totals: LatencyHistogram = record.samples.iter().map(|s| s.total).collect();
     let mut step = StepReport {
         rate_per_s,
         done_per_s: report.counts.done as f64 / record.elapsed.as_secs_f64(),
@@ -200,9 +200,9 @@
     let error_share = (refused + failed) as f64 / requests.max(1) as f64;
     if wrong_answer > 0 {
         StepEnd::WrongAnswer
-    } else if error_share > ERROR_SHARE {
+    } else if error_share > MAX_ERROR_SHARE {
         StepEnd::Errors
-    } else if step.generator.lateness.p99_ms > LATENESS_LIMIT_MS {
+    } else if step.generator.lateness.p99_ms > MAX_LATENESS_MS {
         StepEnd::GeneratorSaturated
     } else if generator_failure > 0 {
         StepEnd::ConcurrencyCap
--- a/crates/load/src/cli/capacity.rs
+++ b/crates/load/src/cli/capacity.rs
@@ -6,8 +6,8 @@
 use pico_args::Arguments;
 
 use super::{
-    CommandError, Verdict, addresses, block_on, emit, finish, opt_number, opt_whole, prompt_size,
-    usage_line, write_json,
+    CommandError, Verdict, addresses, block_on, emit, finish, opt_number, opt_positive_integer,
+    prompt_size, usage_line, write_json,
 };
 use crate::capacity::{CapacityPlan, CapacityReport, StepEnd, StepReport, search};
 use crate::scenario::Scenario;
@@ -23,7 +23,7 @@
         write_json(path, &report)?;
     }
     let wrong = report.steps.iter().map(|step| step.counts.wrong_answer);
-    Ok(Verdict::of(wrong.sum()))
+    Ok(Verdict::from_wrong_answers(wrong.sum()))
 }
 
 fn read(args: &mut Arguments) -> Result<CapacityPlan, CommandError> {
@@ -34,20 +34,20 @@
     }
     if let Some(growth) = opt_number(args, "--growth")? {
         if growth <= 1.0 {
-            return Err(CommandError::NoGrowth);
+            return Err(CommandError::GrowthTooSmall);
         }
         plan = plan.growth(growth);
     }
     if let Some(step_s) = opt_number(args, "--step-s")? {
         plan = plan.step(Duration::from_secs_f64(step_s));
     }
-    if let Some(steps_cap) = opt_whole(args, "--steps")? {
+    if let Some(steps_cap) = opt_positive_integer(args, "--steps")? {
         plan = plan.steps_cap(steps_cap);
     }
     if let Some(limit_ms) = opt_number(args, "--p99-ms")? {
         plan = plan.first_token_limit_ms(limit_ms);
     }
-    if let Some(cap) = opt_whole(args, "--concurrency-cap")? {
+    if let Some(cap) = opt_positive_integer(args, "--concurrency-cap")? {
         plan = plan.concurrency_cap(cap);
     }
     Ok(plan.prompt_size(prompt_size(args)?))
@@ -80,7 +80,7 @@
         text,
         "highest rate held: {:.1} requests/s (search ended: {})",
         report.held_rate_per_s,
-        end_name(report.ended),
+        step_end_name(report.ended),
     )
 }
 
@@ -98,12 +98,12 @@
         step.counts.failed,
         step.counts.wrong_answer,
         step.generator.lateness.p99_ms,
-        end_name(step.end),
+        step_end_name(step.end),
         step.usage.as_ref().map(usage_line).unwrap_or_default(),
     )
 }
 
-const fn end_name(end: StepEnd) -> &'static str {
+const fn step_end_name(end: StepEnd) -> &'static str {
     match end {
         StepEnd::Held => "held",
         StepEnd::Errors => "errors",
--- a/crates/load/src/cli/compare.rs
+++ b/crates/load/src/cli/compare.rs
@@ -5,7 +5,7 @@
 use pico_args::Arguments;
 
 use super::{CommandError, Verdict, emit, finish, read_json};
-use crate::figures::{Difference, differences, idle_ratio, slowdown};
+use crate::compare::{Difference, differences, idle_ratio, slowdown};
 use crate::idle::IdleReport;
 use crate::report::Report;
 
@@ -17,16 +17,16 @@
     let before: Report = read_json(&before_path)?;
     let after: Report = read_json(&after_path)?;
     let idle: Option<IdleReport> = idle.as_deref().map(read_json).transpose()?;
-    let differing = differences(&read_json(&before_path)?, &read_json(&after_path)?);
+    let differences_found = differences(&read_json(&before_path)?, &read_json(&after_path)?);
     emit(|text| {
         write_slowdown(text, &before, &after)?;
         if let Some(idle) = &idle {
             write_idle_ratio(text, &before_path, &before, idle)?;
             write_idle_ratio(text, &after_path, &after, idle)?;
         }
-        write_differences(text, &differing)
+        write_differences(text, &differences_found)
     })?;
-    Ok(Verdict::Right)
+    Ok(Verdict::Pass)
 }
 
 fn write_slowdown(text: &mut String, before: &Report, after: &Report) -> std::fmt::Result {
@@ -61,14 +61,14 @@
     Ok(())
 }
 
-fn write_differences(text: &mut String, differing: &[Difference]) -> std::fmt::Result {
+fn write_differences(text: &mut String, differences_found: &[Difference]) -> std::fmt::Result {
     let (first, second) = ("first", "second");
     writeln!(
         text,
         "\n{:<64}{first:>14}{second:>14}{:>9}",
         "field", "ratio"
     )?;
-    for difference in differing {
+    for difference in differences_found {
         let ratio = difference.after / difference.before;
         let ratio = if ratio.is_finite() {
             format!("{ratio:.3}")
--- a/crates/load/src/cli/idle.rs
+++ b/crates/load/src/cli/idle.rs
@@ -7,7 +7,8 @@
 use pico_args::Arguments;
 
 use super::{
-    CommandError, Verdict, block_on, emit, finish, opt_number, opt_whole, prober, write_json,
+    CommandError, Verdict, block_on, emit, finish, opt_number, opt_positive_integer, prober,
+    write_json,
 };
 use crate::idle::{IdlePlan, IdleReport, measure};
 use crate::probe::Destination;
@@ -19,7 +20,7 @@
     if let Some(limit_s) = opt_number(&mut args, "--bucket-limit-s")? {
         plan = plan.bucket_limit(Duration::from_secs_f64(limit_s));
     }
-    if let Some(per_bucket) = opt_whole(&mut args, "--per-bucket")? {
+    if let Some(per_bucket) = opt_positive_integer(&mut args, "--per-bucket")? {
         plan = plan.per_bucket(per_bucket);
     }
     if let Some(seed) = args.opt_value_from_str("--seed")? {
@@ -33,7 +34,7 @@
     if let Some(path) = &json {
         write_json(path, &report)?;
     }
-    Ok(Verdict::Right)
+    Ok(Verdict::Pass)
 }
 
 async fn run(scenario: &Scenario, plan: IdlePlan) -> Result<IdleReport, CommandError> {
--- a/crates/load/src/cli/latency.rs
+++ b/crates/load/src/cli/latency.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 
 use super::{
-    CommandError, Verdict, block_on, emit, finish, opt_whole, prober, prompt_size, usage_line,
-    write_json,
+    CommandError, Verdict, block_on, emit, finish, opt_positive_integer, prober, prompt_size,
+    usage_line, write_json,
 };
 use crate::latency::{Added, Comparison, LatencyReport, PathReport, compare};
 use crate::probe::Destination;
@@ -24,7 +24,7 @@
 const DEFAULT_SEED: u64 = 1;
 
 /// Distance between the seeds of the two comparisons.
-const CONCURRENT_SEEDS: u64 = 1 << 48;
+const CONCURRENT_SEED_OFFSET: u64 = 1 << 48;
 
 /// Workers of the concurrent comparison.
 const DEFAULT_WORKERS: u64 = 32;
@@ -59,13 +59,15 @@
     let paths = reports
         .iter()
         .flat_map(|report| [&report.daemon, &report.direct]);
-    Ok(Verdict::of(paths.map(|path| path.wrong_answers).sum()))
+    Ok(Verdict::from_wrong_answers(
+        paths.map(|path| path.wrong_answers).sum(),
+    ))
 }
 
 fn read(args: &mut Arguments) -> Result<Options, CommandError> {
     let daemon: SocketAddr = args.value_from_str("--target")?;
     let engine: SocketAddr = args.value_from_str("--direct")?;
-    let pairs = opt_whole(args, "--pairs")?.unwrap_or(DEFAULT_PAIRS);
+    let pairs = opt_positive_integer(args, "--pairs")?.unwrap_or(DEFAULT_PAIRS);
     let seed = args.opt_value_from_str("--seed")?.unwrap_or(DEFAULT_SEED);
     let comparison = Comparison::new(Destination::Daemon(daemon), Destination::Engine(engine))
         .pairs(pairs)
@@ -75,7 +77,7 @@
         comparison,
         pairs,
         seed,
-        workers: opt_whole(args, "--concurrency")?.unwrap_or(DEFAULT_WORKERS),
+        workers: opt_positive_integer(args, "--concurrency")?.unwrap_or(DEFAULT_WORKERS),
         scenario: super::scenario(args)?,
         pid: args.opt_value_from_str("--pid")?,
         json: args.opt_value_from_str("--json")?,
@@ -94,7 +96,7 @@
         .pairs(options.pairs.div_ceil(options.workers))
         .warm_up_pairs(1)
         // Other prompts than those that the engine has seen.
-        .seed(options.seed.wrapping_add(CONCURRENT_SEEDS));
+        .seed(options.seed.wrapping_add(CONCURRENT_SEED_OFFSET));
     let concurrent = compare(&client, &prober, concurrent).await;
     let elapsed = started.elapsed();
     let after = options.pid.map(Usage::read).transpose()?;
--- a/crates/load/src/cli/mod.rs
+++ b/crates/load/src/cli/mod.rs
@@ -19,7 +19,7 @@
 use thiserror::Error;
 
 use crate::answers::AnswerRule;
-use crate::counted::CountsError;
+use crate::executions::FetchCountersError;
 use crate::probe::{Prober, PromptSize};
 use crate::process::{UsageError, UsageReport};
 use crate::scenario::{Scenario, ScenarioError};
@@ -46,16 +46,16 @@
 ";
 
 /// Least number that an option takes.
-const LEAST: f64 = 1e-6;
+const MIN_NUMBER: f64 = 1e-6;
 
 /// Greatest number that an option takes.
-const GREATEST: f64 = 1e6;
+const MAX_NUMBER: f64 = 1e6;
 
 /// Scenario of a command that names none.
 const DEFAULT_SCENARIO: &str = "demo";
 
 /// Exit code of a run with a wrong answer.
-const EXIT_WRONG: u8 = 1;
+const EXIT_CHECK_FAILED: u8 = 1;
 
 /// Exit code of a command that could not be done.
 const EXIT_USAGE: u8 = 2;
@@ -71,16 +71,16 @@
     Unknown(Option<String>),
     #[error("{0} must be above 0")]
     NotPositive(&'static str),
-    #[error("{0} must be between {LEAST} and {GREATEST}")]
+    #[error("{0} must be between {MIN_NUMBER} and {MAX_NUMBER}")]
     OutOfRange(&'static str),
     #[error("--growth must be above 1")]
-    NoGrowth,
+    GrowthTooSmall,
     #[error("scenario {0} has no prompts")]
     NoPrompts(String),
     #[error(transparent)]
     Usage(#[from] UsageError),
     #[error(transparent)]
-    Counts(#[from] CountsError),
+    Counts(#[from] FetchCountersError),
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
     #[error(transparent)]
@@ -107,17 +107,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Verdict {
     /// Every answer was right.
-    Right,
+    Pass,
     /// An answer was wrong, or a key did not run as was told.
-    Wrong,
+    Fail,
 }
 
 impl Verdict {
-    fn of(wrong_answers: u64) -> Self {
+    fn from_wrong_answers(wrong_answers: u64) -> Self {
         if wrong_answers == 0 {
-            Self::Right
+            Self::Pass
         } else {
-            Self::Wrong
+            Self::Fail
         }
     }
 }
@@ -130,8 +130,8 @@
 #[must_use]
 pub fn main(args: Arguments) -> ExitCode {
     match dispatch(args) {
-        Ok(Verdict::Right) => ExitCode::SUCCESS,
-        Ok(Verdict::Wrong) => ExitCode::from(EXIT_WRONG),
+        Ok(Verdict::Pass) => ExitCode::SUCCESS,
+        Ok(Verdict::Fail) => ExitCode::from(EXIT_CHECK_FAILED),
         Err(error) => {
             // Where standard error is gone too, the exit code has to tell.
             let _ = writeln!(std::io::stderr(), "mangofront load: {error}");
@@ -143,7 +143,7 @@
 fn dispatch(mut args: Arguments) -> Result<Verdict, CommandError> {
     if args.contains(["-h", "--help"]) {
         emit(|text| text.write_str(HELP))?;
-        return Ok(Verdict::Right);
+        return Ok(Verdict::Pass);
     }
     match args.subcommand()?.as_deref() {
         Some("run") => run::main(args),
@@ -190,14 +190,17 @@
 /// A number of sensible size, when it is given.
 fn opt_number(args: &mut Arguments, name: &'static str) -> Result<Option<f64>, CommandError> {
     let value: Option<f64> = args.opt_value_from_str(name)?;
-    if value.is_some_and(|value| !(LEAST..=GREATEST).contains(&value)) {
+    if value.is_some_and(|value| !(MIN_NUMBER..=MAX_NUMBER).contains(&value)) {
         return Err(CommandError::OutOfRange(name));
     }
     Ok(value)
 }
 
 /// A whole number above 0, when it is given.
-fn opt_whole<T>(args: &mut Arguments, name: &'static str) -> Result<Option<T>, CommandError>
+fn opt_positive_integer<T>(
+    args: &mut Arguments,
+    name: &'static str,
+) -> Result<Option<T>, CommandError>
 where
     T: FromStr<Err: Display> + Default + PartialEq,
 {
@@ -211,10 +214,10 @@
 /// Size of the prompts that the arguments give.
 fn prompt_size(args: &mut Arguments) -> Result<PromptSize, CommandError> {
     let mut size = PromptSize::default();
-    if let Some(length_tokens) = opt_whole(args, "--prompt-tokens")? {
+    if let Some(length_tokens) = opt_positive_integer(args, "--prompt-tokens")? {
         size.length_tokens = length_tokens;
     }
-    if let Some(max_tokens) = opt_whole(args, "--max-tokens")? {
+    if let Some(max_tokens) = opt_positive_integer(args, "--max-tokens")? {
         size.max_tokens = max_tokens;
     }
     Ok(size)
@@ -227,7 +230,7 @@
 }
 
 fn prober(scenario: &Scenario) -> Result<Prober, CommandError> {
-    Prober::of(scenario, AnswerRule::standin())
+    Prober::for_scenario(scenario, AnswerRule::standin())
         .ok_or_else(|| CommandError::NoPrompts(scenario.name.clone()))
 }
 
@@ -248,7 +251,7 @@
             emit(|text| text.write_str(&document))?;
         }
     }
-    Ok(Verdict::Right)
+    Ok(Verdict::Pass)
 }
 
 /// Scales a published time, which must stay above 0.
--- a/crates/load/src/cli/run.rs
+++ b/crates/load/src/cli/run.rs
@@ -8,14 +8,14 @@
 
 use super::compare::write_idle_ratio;
 use super::{
-    CommandError, GREATEST, LEAST, Verdict, addresses, block_on, emit, finish, opt_number,
+    CommandError, MAX_NUMBER, MIN_NUMBER, Verdict, addresses, block_on, emit, finish, opt_number,
     read_json, write_file, write_json,
 };
-use crate::counted;
+use crate::executions;
 use crate::generator::generate;
 use crate::idle::IdleReport;
-use crate::report::{Report, RunFacts, build, table, write_chart};
-use crate::requests::Requests;
+use crate::report::{Report, RunMetadata, build, table, write_chart};
+use crate::requests::RequestFactory;
 use crate::scenario::Scenario;
 use crate::schedule::{Plan, Schedule};
 use crate::text::{TextSalt, fresh_salt};
@@ -51,14 +51,16 @@
         emit(|text| write_idle_ratio(text, "this run", &report, idle))?;
     }
     let counted = report.counted_services;
-    let keys_right = counted.is_none_or(|counted| counted.is_right());
+    let executions_consistent = counted.is_none_or(|counted| counted.is_consistent());
     // An answer that tells of a second run counts as wrong by itself.
     let all_done = report.counts.done == report.counts.requests;
-    let right = keys_right && (all_done || !options.all_done);
-    Ok(match Verdict::of(report.counts.wrong_answer) {
-        Verdict::Right if right => Verdict::Right,
-        _ => Verdict::Wrong,
-    })
+    let passed = executions_consistent && (all_done || !options.all_done);
+    Ok(
+        match Verdict::from_wrong_answers(report.counts.wrong_answer) {
+            Verdict::Pass if passed => Verdict::Pass,
+            _ => Verdict::Fail,
+        },
+    )
 }
 
 fn read(args: &mut Arguments) -> Result<Options, CommandError> {
@@ -101,7 +103,7 @@
         Some(number) => number
             .parse()
             .ok()
-            .filter(|factor| (LEAST..=GREATEST).contains(factor))
+            .filter(|factor| (MIN_NUMBER..=MAX_NUMBER).contains(factor))
             .ok_or(CommandError::OutOfRange("--rate-factor"))?,
     };
     let rate_per_s = opt_number(args, "--rate")?;
@@ -119,17 +121,17 @@
         services,
         ..
     } = options;
-    let requests = Requests::builder(scenario, targets.clone())
+    let requests = RequestFactory::builder(scenario, targets.clone())
         .time_scale(*time_scale)
         .text_salt(*text_salt)
         .build();
-    let facts = RunFacts::new(scenario, *plan, &requests);
+    let metadata = RunMetadata::new(scenario, *plan, &requests);
     let schedule = Schedule::new(scenario, *plan);
     let record = generate(client.clone(), requests, scenario.concurrency_cap, schedule).await;
-    let mut report = build(&facts, &scenario.configuration, &record);
+    let mut report = build(&metadata, &scenario.configuration, &record);
     if !services.is_empty() {
-        let runs = counted::read(&client, services).await?;
-        report.counted_services = Some(counted::judge(&record.samples, &runs));
+        let runs = executions::fetch(&client, services).await?;
+        report.counted_services = Some(executions::check(&record.samples, &runs));
     }
     Ok(report)
 }
--- a/crates/load/src/figures.rs
+++ b/crates/load/src/compare.rs
@@ -11,7 +11,7 @@
 
 /// Figure that two documents don't give.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum FigureError {
+pub enum CompareError {
     /// Not one report with long prompts and one without.
     #[error("one of the two reports must be of a run --without-long, the other not")]
     NotAPair,
@@ -27,40 +27,40 @@
 /// with long prompts, divided by that of the run without.
 ///
 /// # Errors
-/// [`FigureError`] when the reports are not of the same schedule with and
+/// [`CompareError`] when the reports are not of the same schedule with and
 /// without long prompts.
-pub fn slowdown(one: &Report, other: &Report) -> Result<f64, FigureError> {
+pub fn slowdown(one: &Report, other: &Report) -> Result<f64, CompareError> {
     let (with, without) = match (one.run.without_long, other.run.without_long) {
         (false, true) => (one, other),
         (true, false) => (other, one),
-        _ => return Err(FigureError::NotAPair),
+        _ => return Err(CompareError::NotAPair),
     };
     same_schedule(with, without)?;
     Ok(short_p95_ms(with)? / short_p95_ms(without)?)
 }
 
-fn same_schedule(one: &Report, other: &Report) -> Result<(), FigureError> {
+fn same_schedule(one: &Report, other: &Report) -> Result<(), CompareError> {
     if one.run.scenario != other.run.scenario {
-        return Err(FigureError::OtherRun("scenario"));
+        return Err(CompareError::OtherRun("scenario"));
     }
     if one.run.seed != other.run.seed {
-        return Err(FigureError::OtherRun("seed"));
+        return Err(CompareError::OtherRun("seed"));
     }
     if one.run.rate_per_s != other.run.rate_per_s {
-        return Err(FigureError::OtherRun("rate"));
+        return Err(CompareError::OtherRun("rate"));
     }
     if one.run.time_scale != other.run.time_scale {
-        return Err(FigureError::OtherRun("time scale"));
+        return Err(CompareError::OtherRun("time scale"));
     }
     Ok(())
 }
 
-fn short_p95_ms(report: &Report) -> Result<f64, FigureError> {
+fn short_p95_ms(report: &Report) -> Result<f64, CompareError> {
     let short = report.by_length.get(&LengthBucket::UpTo4k);
     let times = short.map(|short| short.time_to_first_token);
     match times {
         Some(times) if times.count > 0 => Ok(times.p95_ms),
-        _ => Err(FigureError::NoSamples("short prompts")),
+        _ => Err(CompareError::NoSamples("short prompts")),
     }
 }
 
@@ -78,8 +78,8 @@
 /// Compares a run with an idle engine.
 ///
 /// # Errors
-/// [`FigureError`] when no bucket has first tokens in both.
-pub fn idle_ratio(report: &Report, idle: &IdleReport) -> Result<IdleRatio, FigureError> {
+/// [`CompareError`] when no bucket has first tokens in both.
+pub fn idle_ratio(report: &Report, idle: &IdleReport) -> Result<IdleRatio, CompareError> {
     let mut by_length = BTreeMap::new();
     let mut left_out = Vec::new();
     for (bucket, loaded) in &report.by_length {
@@ -96,7 +96,7 @@
         }
     }
     if by_length.is_empty() {
-        return Err(FigureError::NoSamples("buckets that both have"));
+        return Err(CompareError::NoSamples("buckets that both have"));
     }
     let logarithms: f64 = by_length.values().map(|ratio| ratio.ln()).sum();
     Ok(IdleRatio {
--- a/crates/load/src/exchange.rs
+++ b/crates/load/src/exchange.rs
@@ -7,21 +7,21 @@
 use futures_util::{Stream, StreamExt};
 use mangofront_http::{ErrorBody, ErrorDetail, Outcome, events, headers};
 
-use crate::dialect::{Chunk, ServiceAnswer};
 use crate::sample::End;
-use crate::verify::{Check, Expected, WrongAnswer};
+use crate::verify::{AnswerChecker, Expected, WrongAnswer};
+use crate::wire::{Chunk, ServiceAnswer};
 
 /// Data of the event that ends a stream.
-const END_MARK: &str = "[DONE]";
+const DONE_MARKER: &str = "[DONE]";
 
 /// Code of a connection that broke or was not made.
-const CONNECTION: &str = "connection";
+const CONNECTION_CODE: &str = "connection";
 
 /// Code of an answer that was not whole within the tool's time limit.
-const CLIENT_TIMEOUT: &str = "client_timeout";
+const CLIENT_TIMEOUT_CODE: &str = "client_timeout";
 
 /// Code of an error answer without a typed body.
-const UNTYPED: &str = "untyped";
+const UNTYPED_CODE: &str = "untyped";
 
 /// A request to send.
 #[derive(Debug, Clone)]
@@ -51,7 +51,7 @@
 
 /// What a request came to.
 #[derive(Debug)]
-pub struct Exchanged {
+pub struct ExchangeResult {
     /// Id that the daemon gave.
     pub request_id: Option<String>,
     /// Time from sending to the first token.
@@ -59,7 +59,7 @@
     /// Time from sending to the end.
     pub total: Duration,
     /// Times between tokens of a stream.
-    pub gaps: Vec<Duration>,
+    pub inter_token_times: Vec<Duration>,
     /// Tokens received.
     pub tokens: u32,
     /// How often the key of a service call ran, by the answer.
@@ -69,54 +69,54 @@
 }
 
 /// Sends `outgoing` and reads its answer whole, within its time limit.
-pub async fn exchange(client: &Client, outgoing: Outgoing) -> Exchanged {
-    let mut reading = Reading::new(outgoing.answer);
+pub async fn exchange(client: &Client, outgoing: Outgoing) -> ExchangeResult {
+    let mut reader = ResponseReader::new(outgoing.answer);
     let time_limit = outgoing.time_limit;
-    let ended = compio::time::timeout(time_limit, reading.run(client, outgoing)).await;
-    let end = match ended {
+    let result = compio::time::timeout(time_limit, reader.run(client, outgoing)).await;
+    let end = match result {
         Ok(Ok(())) => End::Done,
         Ok(Err(end)) => end,
         Err(_) => End::Failed {
-            code: CLIENT_TIMEOUT.to_owned(),
+            code: CLIENT_TIMEOUT_CODE.to_owned(),
             outcome: Outcome::Unknown,
             message: format!("no whole answer within {time_limit:?}"),
         },
     };
-    reading.finish(end)
+    reader.finish(end)
 }
 
 /// An answer while it is read.
-struct Reading {
-    sent: Instant,
+struct ResponseReader {
+    sent_at: Instant,
     answer: Answer,
     request_id: Option<String>,
     first_token: Option<Duration>,
     last_token: Option<Instant>,
-    gaps: Vec<Duration>,
+    inter_token_times: Vec<Duration>,
     tokens: u32,
     executions: Option<u64>,
 }
 
-impl Reading {
+impl ResponseReader {
     fn new(answer: Answer) -> Self {
         Self {
-            sent: Instant::now(),
+            sent_at: Instant::now(),
             answer,
             request_id: None,
             first_token: None,
             last_token: None,
-            gaps: Vec::new(),
+            inter_token_times: Vec::new(),
             tokens: 0,
             executions: None,
         }
     }
 
-    fn finish(self, end: End) -> Exchanged {
-        Exchanged {
+    fn finish(self, end: End) -> ExchangeResult {
+        ExchangeResult {
             request_id: self.request_id,
             first_token: self.first_token,
-            total: self.sent.elapsed(),
-            gaps: self.gaps,
+            total: self.sent_at.elapsed(),
+            inter_token_times: self.inter_token_times,
             tokens: self.tokens,
             executions: self.executions,
             end,
@@ -127,7 +127,7 @@
         let response = send(client, outgoing).await?;
         self.request_id = header(&response, headers::REQUEST_ID);
         if !response.status().is_success() {
-            return Err(refusal(response).await);
+            return Err(error_response_end(response).await);
         }
         match self.answer {
             Answer::Stream(expected) => self.read_stream(response, expected).await,
@@ -137,67 +137,75 @@
     }
 
     async fn read_stream(&mut self, response: Response, expected: Expected) -> Result<(), End> {
-        let mut check = Check::new(expected);
+        let mut checker = AnswerChecker::new(expected);
         let mut events = std::pin::pin!(events(response.bytes_stream()));
         while let Some(event) = events.next().await {
-            let event = event.map_err(broken)?;
-            if event.data == END_MARK {
-                check.end().map_err(wrong)?;
-                return no_more(events).await;
+            let event = event.map_err(connection_failure)?;
+            if event.data == DONE_MARKER {
+                checker.end().map_err(wrong_answer)?;
+                return expect_end_of_stream(events).await;
             }
-            let chunk: Chunk = serde_json::from_str(&event.data).map_err(malformed)?;
+            let chunk: Chunk = serde_json::from_str(&event.data).map_err(malformed_answer)?;
             if let Some(error) = chunk.error {
-                no_more(events).await?;
-                return Err(self.broken_off(error));
+                expect_end_of_stream(events).await?;
+                return Err(self.error_event_end(error));
             }
-            self.take(chunk, &mut check).map_err(wrong)?;
+            self.process_chunk(chunk, &mut checker)
+                .map_err(wrong_answer)?;
         }
-        Err(wrong(WrongAnswer::NoEndMark))
+        Err(wrong_answer(WrongAnswer::MissingDoneMarker))
     }
 
-    fn take(&mut self, chunk: Chunk, check: &mut Check) -> Result<(), WrongAnswer> {
+    fn process_chunk(
+        &mut self,
+        chunk: Chunk,
+        checker: &mut AnswerChecker,
+    ) -> Result<(), WrongAnswer> {
         let (text, finish_reason) = chunk.text_and_finish();
         if let Some(text) = text.filter(|text| !text.is_empty()) {
             if let Some(offset) = chunk.offset {
-                check.offset(offset)?;
+                checker.offset(offset)?;
             }
-            check.text(text)?;
-            self.token_came();
-            self.tokens = check.tokens();
+            checker.text(text)?;
+            self.record_token();
+            self.tokens = checker.tokens();
         }
         match finish_reason {
-            Some(reason) => check.finish_reason(reason),
+            Some(reason) => checker.finish_reason(reason),
             None => Ok(()),
         }
     }
 
     /// End of a stream whose last event is an error.
-    fn broken_off(&self, error: ErrorDetail) -> End {
+    fn error_event_end(&self, error: ErrorDetail) -> End {
         match error.outcome {
-            Outcome::NotRun if self.first_token.is_some() => wrong(WrongAnswer::NotRunAfterTokens),
+            Outcome::NotRun if self.first_token.is_some() => {
+                wrong_answer(WrongAnswer::NotRunAfterTokens)
+            }
             Outcome::NotRun | Outcome::Failed | Outcome::Unknown => error_end(error),
         }
     }
 
-    fn token_came(&mut self) {
+    fn record_token(&mut self) {
         let now = Instant::now();
         match self.last_token.replace(now) {
-            None => self.first_token = Some(now - self.sent),
-            Some(last) => self.gaps.push(now - last),
+            None => self.first_token = Some(now - self.sent_at),
+            Some(last) => self.inter_token_times.push(now - last),
         }
     }
 
     async fn read_json(&mut self, response: Response, expected: Expected) -> Result<(), End> {
-        let body = response.bytes().await.map_err(broken)?;
-        let chunk: Chunk = serde_json::from_slice(&body).map_err(malformed)?;
-        let mut check = Check::new(expected);
-        self.take(chunk, &mut check).map_err(wrong)?;
-        check.end().map_err(wrong)
+        let body = response.bytes().await.map_err(connection_failure)?;
+        let chunk: Chunk = serde_json::from_slice(&body).map_err(malformed_answer)?;
+        let mut checker = AnswerChecker::new(expected);
+        self.process_chunk(chunk, &mut checker)
+            .map_err(wrong_answer)?;
+        checker.end().map_err(wrong_answer)
     }
 
     async fn read_service(&mut self, response: Response) -> Result<(), End> {
-        let body = response.bytes().await.map_err(broken)?;
-        let answer: ServiceAnswer = serde_json::from_slice(&body).map_err(malformed)?;
+        let body = response.bytes().await.map_err(connection_failure)?;
+        let answer: ServiceAnswer = serde_json::from_slice(&body).map_err(malformed_answer)?;
         self.executions = Some(answer.executions);
         match answer.executions {
             1 => Ok(()),
@@ -209,31 +217,35 @@
 }
 
 async fn send(client: &Client, outgoing: Outgoing) -> Result<Response, End> {
-    let mut request = client.post(&outgoing.url).map_err(broken)?;
+    let mut request = client.post(&outgoing.url).map_err(connection_failure)?;
     for (name, value) in outgoing.headers {
-        request = request.header(name, value).map_err(broken)?;
+        request = request.header(name, value).map_err(connection_failure)?;
     }
-    request.body(outgoing.body).send().await.map_err(broken)
+    request
+        .body(outgoing.body)
+        .send()
+        .await
+        .map_err(connection_failure)
 }
 
-async fn no_more<E>(mut events: impl Stream<Item = E> + Unpin) -> Result<(), End> {
+async fn expect_end_of_stream<E>(mut events: impl Stream<Item = E> + Unpin) -> Result<(), End> {
     match events.next().await {
         None => Ok(()),
-        Some(_) => Err(wrong(WrongAnswer::Malformed(
+        Some(_) => Err(wrong_answer(WrongAnswer::Malformed(
             "an event follows the last one".to_owned(),
         ))),
     }
 }
 
-async fn refusal(response: Response) -> End {
+async fn error_response_end(response: Response) -> End {
     let body = match response.bytes().await {
         Ok(body) => body,
-        Err(error) => return broken(error),
+        Err(error) => return connection_failure(error),
     };
     match serde_json::from_slice::<ErrorBody>(&body) {
         Ok(body) => error_end(body.error),
         Err(error) => End::Failed {
-            code: UNTYPED.to_owned(),
+            code: UNTYPED_CODE.to_owned(),
             outcome: Outcome::Unknown,
             message: error.to_string(),
         },
@@ -255,22 +267,22 @@
     }
 }
 
-fn broken(error: impl std::fmt::Display) -> End {
+fn connection_failure(error: impl std::fmt::Display) -> End {
     End::Failed {
-        code: CONNECTION.to_owned(),
+        code: CONNECTION_CODE.to_owned(),
         outcome: Outcome::Unknown,
         message: error.to_string(),
     }
 }
 
-fn wrong(answer: WrongAnswer) -> End {
+fn wrong_answer(answer: WrongAnswer) -> End {
     End::WrongAnswer {
         problem: answer.to_string(),
     }
 }
 
-fn malformed(error: serde_json::Error) -> End {
-    wrong(WrongAnswer::Malformed(error.to_string()))
+fn malformed_answer(error: serde_json::Error) -> End {
+    wrong_answer(WrongAnswer::Malformed(error.to_string()))
 }
 
 fn header(response: &Response, name: &str) -> Option<String> {
--- a/crates/load/src/counted.rs
+++ b/crates/load/src/executions.rs
@@ -14,11 +14,11 @@
 use crate::sample::{End, Sample, SampleKind};
 
 /// Runs of each idempotency key.
-pub type RunsByKey = BTreeMap<String, u64>;
+pub type ExecutionsByKey = BTreeMap<String, u64>;
 
 /// Verdict on the keys of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct CountedServices {
+pub struct ExecutionCheck {
     /// Distinct keys sent.
     pub keys: u64,
     /// Keys that ran more than once.
@@ -29,10 +29,10 @@
     pub not_run_though_done: u64,
 }
 
-impl CountedServices {
+impl ExecutionCheck {
     /// Whether every key ran as its callers were told.
     #[must_use]
-    pub const fn is_right(&self) -> bool {
+    pub const fn is_consistent(&self) -> bool {
         self.ran_more_than_once + self.ran_though_not_run + self.not_run_though_done == 0
     }
 }
@@ -40,17 +40,17 @@
 /// Service whose counts were not read.
 #[derive(Debug, Error)]
 #[error("counts of service {address}: {problem}")]
-pub struct CountsError {
+pub struct FetchCountersError {
     /// Address of the service.
     pub address: SocketAddr,
     /// What went wrong.
     #[source]
-    pub problem: CountsProblem,
+    pub problem: FetchCountersCause,
 }
 
 /// Why a service's counts were not read.
 #[derive(Debug, Error)]
-pub enum CountsProblem {
+pub enum FetchCountersCause {
     /// No whole answer.
     #[error(transparent)]
     Http(#[from] cyper::Error),
@@ -61,19 +61,22 @@
 
 #[derive(Deserialize)]
 struct Counters {
-    by_key: RunsByKey,
+    by_key: ExecutionsByKey,
 }
 
 /// Reads the counts of all `services` and adds them up.
 ///
 /// # Errors
-/// [`CountsError`] when one of them does not answer: its runs would be missing.
-pub async fn read(client: &Client, services: &[SocketAddr]) -> Result<RunsByKey, CountsError> {
-    let mut all = RunsByKey::new();
+/// [`FetchCountersError`] when one of them does not answer: its runs would be missing.
+pub async fn fetch(
+    client: &Client,
+    services: &[SocketAddr],
+) -> Result<ExecutionsByKey, FetchCountersError> {
+    let mut all = ExecutionsByKey::new();
     for address in services.iter().copied() {
-        let counters = read_one(client, address)
+        let counters = fetch_one(client, address)
             .await
-            .map_err(|problem| CountsError { address, problem })?;
+            .map_err(|problem| FetchCountersError { address, problem })?;
         for (key, runs) in counters.by_key {
             *all.entry(key).or_default() += runs;
         }
@@ -81,37 +84,37 @@
     Ok(all)
 }
 
-async fn read_one(client: &Client, address: SocketAddr) -> Result<Counters, CountsProblem> {
+async fn fetch_one(client: &Client, address: SocketAddr) -> Result<Counters, FetchCountersCause> {
     let url = format!("http://{address}/control/counters");
     let body = client.get(url)?.send().await?.bytes().await?;
     Ok(serde_json::from_slice(&body)?)
 }
 
 /// What the callers of one key were told.
-struct Told {
+struct ReportedOutcome {
     done: bool,
-    only_not_run: bool,
+    all_not_run: bool,
 }
 
 /// Judges the service calls among `samples` by the runs counted.
 #[must_use]
-pub fn judge(samples: &[Sample], runs: &RunsByKey) -> CountedServices {
-    let told = told_by_key(samples);
-    let mut counted = CountedServices {
-        keys: told.len() as u64,
-        ..CountedServices::default()
+pub fn check(samples: &[Sample], runs: &ExecutionsByKey) -> ExecutionCheck {
+    let reported = reported_by_key(samples);
+    let mut check = ExecutionCheck {
+        keys: reported.len() as u64,
+        ..ExecutionCheck::default()
     };
-    for (key, told) in told {
+    for (key, reported) in reported {
         let runs = runs.get(key).copied().unwrap_or_default();
-        counted.ran_more_than_once += u64::from(runs > 1);
-        counted.ran_though_not_run += u64::from(runs > 0 && told.only_not_run);
-        counted.not_run_though_done += u64::from(runs == 0 && told.done);
+        check.ran_more_than_once += u64::from(runs > 1);
+        check.ran_though_not_run += u64::from(runs > 0 && reported.all_not_run);
+        check.not_run_though_done += u64::from(runs == 0 && reported.done);
     }
-    counted
+    check
 }
 
-fn told_by_key(samples: &[Sample]) -> BTreeMap<&str, Told> {
-    let mut by_key: BTreeMap<&str, Told> = BTreeMap::new();
+fn reported_by_key(samples: &[Sample]) -> BTreeMap<&str, ReportedOutcome> {
+    let mut by_key: BTreeMap<&str, ReportedOutcome> = BTreeMap::new();
     for sample in samples {
         let SampleKind::Service { key, .. } = &sample.kind else {
             continue;
@@ -121,12 +124,12 @@
             sample.end,
             End::Refused { .. } | End::GeneratorFailure { .. }
         );
-        let told = by_key.entry(key).or_insert(Told {
+        let reported = by_key.entry(key).or_insert(ReportedOutcome {
             done: false,
-            only_not_run: true,
+            all_not_run: true,
         });
-        told.only_not_run &= not_run;
-        told.done |= sample.end == End::Done;
+        reported.all_not_run &= not_run;
+        reported.done |= sample.end == End::Done;
     }
     by_key
 }
--- a/crates/load/src/generator.rs
+++ b/crates/load/src/generator.rs
@@ -12,33 +12,33 @@
 
 use cyper::Client;
 
-use crate::exchange::{Exchanged, Outgoing, exchange};
-use crate::requests::Requests;
+use crate::exchange::{ExchangeResult, Outgoing, exchange};
+use crate::requests::RequestFactory;
 use crate::sample::{End, Sample, SampleKind};
 use crate::schedule::{Arrival, Work};
-use crate::times::Times;
+use crate::times::LatencyHistogram;
 
 /// Pause between looks at the number of requests under way.
-const DRAIN_PAUSE: Duration = Duration::from_millis(5);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What a run gave.
 #[derive(Debug)]
-pub struct Record {
+pub struct RunRecord {
     /// One for each request.
     pub samples: Vec<Sample>,
     /// Times between the tokens of one stream, of all streams.
-    pub gaps: Times,
+    pub inter_token_times: LatencyHistogram,
     /// Most requests under way at once.
     pub in_flight_max: usize,
     /// Time from the start to the last answer.
     pub elapsed: Duration,
 }
 
-impl Default for Record {
+impl Default for RunRecord {
     fn default() -> Self {
         Self {
             samples: Vec::new(),
-            gaps: Times::new(),
+            inter_token_times: LatencyHistogram::new(),
             in_flight_max: 0,
             elapsed: Duration::ZERO,
         }
@@ -48,18 +48,18 @@
 /// State that the tasks of a run share.
 struct Run {
     client: Client,
-    requests: Requests,
-    record: RefCell<Record>,
+    requests: RequestFactory,
+    record: RefCell<RunRecord>,
     in_flight: Cell<usize>,
 }
 
 /// Sends `arrivals` with at most `concurrency_cap` requests under way.
 pub async fn generate(
     client: Client,
-    requests: Requests,
+    requests: RequestFactory,
     concurrency_cap: usize,
     arrivals: impl Iterator<Item = Arrival>,
-) -> Record {
+) -> RunRecord {
     let run = Rc::new(Run {
         client,
         requests,
@@ -73,7 +73,7 @@
         sleep_until(due).await;
         let lateness = due.elapsed();
         if run.in_flight.get() >= concurrency_cap {
-            run.not_sent(&arrival, lateness);
+            run.record_not_sent(&arrival, lateness);
             continue;
         }
         let guard = InFlight::new(&run);
@@ -85,7 +85,7 @@
         .detach();
     }
     while run.in_flight.get() > 0 {
-        compio::time::sleep(DRAIN_PAUSE).await;
+        compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     let mut record = run.record.take();
     record.elapsed = start.elapsed();
@@ -120,19 +120,25 @@
 
 impl Run {
     async fn send(&self, arrival: Arrival, outgoing: Outgoing, lateness: Duration) {
-        let repeated = match &arrival.work {
+        let repetition = match &arrival.work {
             Work::Service(work) if work.repeat => Some(self.requests.repeat(&arrival, &outgoing)),
             Work::Service(_) | Work::Model(_) => None,
         };
         let exchanged = exchange(&self.client, outgoing).await;
-        self.add(&arrival, exchanged, lateness, false);
-        if let Some(outgoing) = repeated {
+        self.record_result(&arrival, exchanged, lateness, false);
+        if let Some(outgoing) = repetition {
             let exchanged = exchange(&self.client, outgoing).await;
-            self.add(&arrival, exchanged, Duration::ZERO, true);
+            self.record_result(&arrival, exchanged, Duration::ZERO, true);
         }
     }
 
-    fn add(&self, arrival: &Arrival, exchanged: Exchanged, lateness: Duration, repeat: bool) {
+    fn record_result(
+        &self,
+        arrival: &Arrival,
+        exchanged: ExchangeResult,
+        lateness: Duration,
+        repeat: bool,
+    ) {
         let kind = match &arrival.work {
             Work::Model(work) => SampleKind::Model {
                 length_tokens: work.length_tokens,
@@ -144,8 +150,8 @@
             },
         };
         let mut record = self.record.borrow_mut();
-        for gap in exchanged.gaps {
-            record.gaps.add(gap);
+        for time in exchanged.inter_token_times {
+            record.inter_token_times.add(time);
         }
         record.samples.push(Sample {
             class: arrival.class.clone(),
@@ -161,18 +167,18 @@
         });
     }
 
-    fn not_sent(&self, arrival: &Arrival, lateness: Duration) {
-        let exchanged = Exchanged {
+    fn record_not_sent(&self, arrival: &Arrival, lateness: Duration) {
+        let exchanged = ExchangeResult {
             request_id: None,
             first_token: None,
             total: Duration::ZERO,
-            gaps: Vec::new(),
+            inter_token_times: Vec::new(),
             tokens: 0,
             executions: None,
             end: End::GeneratorFailure {
                 cause: "concurrency_cap",
             },
         };
-        self.add(arrival, exchanged, lateness, false);
+        self.record_result(arrival, exchanged, lateness, false);
     }
 }
--- a/crates/load/src/idle.rs
+++ b/crates/load/src/idle.rs
@@ -16,10 +16,10 @@
 use crate::sample::End;
 use crate::scenario::Scenario;
 use crate::schedule::{ModelWork, Plan, Schedule, Work};
-use crate::times::{Quantiles, Times};
+use crate::times::{LatencyHistogram, Quantiles};
 
 /// Most arrivals drawn to find prompts of the rare lengths.
-const DRAWN_CAP: usize = 200_000;
+const DRAWN_ARRIVALS_CAP: usize = 200_000;
 
 /// Answer limit of the probes, in tokens: only the first one counts.
 const MAX_TOKENS: u32 = 4;
@@ -105,8 +105,8 @@
     plan: IdlePlan,
 ) -> IdleReport {
     let mut by_length = BTreeMap::new();
-    for (bucket, works) in prompts(scenario, plan) {
-        by_length.insert(bucket, measure_bucket(client, prober, plan, works).await);
+    for (bucket, requests) in prompts(scenario, plan) {
+        by_length.insert(bucket, measure_bucket(client, prober, plan, requests).await);
     }
     IdleReport {
         scenario: scenario.name.clone(),
@@ -118,21 +118,21 @@
 /// First prompts of each bucket in the scenario's schedule.
 fn prompts(scenario: &Scenario, plan: IdlePlan) -> BTreeMap<LengthBucket, Vec<(u64, ModelWork)>> {
     let mut scenario = scenario.clone();
-    scenario.request_cap = DRAWN_CAP;
-    let draws = Plan::new(1.0, Duration::MAX).seed(plan.seed);
+    scenario.request_cap = DRAWN_ARRIVALS_CAP;
+    let schedule_plan = Plan::new(1.0, Duration::MAX).seed(plan.seed);
     let mut prompts: BTreeMap<LengthBucket, Vec<(u64, ModelWork)>> = BTreeMap::new();
-    for arrival in Schedule::new(&scenario, draws) {
+    for arrival in Schedule::new(&scenario, schedule_plan) {
         let Work::Model(mut work) = arrival.work else {
             continue;
         };
-        let of_bucket = prompts
+        let bucket_prompts = prompts
             .entry(LengthBucket::of(work.length_tokens))
             .or_default();
-        if of_bucket.len() < plan.per_bucket {
+        if bucket_prompts.len() < plan.per_bucket {
             work.history = None;
             work.stream = true;
             work.max_tokens = MAX_TOKENS;
-            of_bucket.push((arrival.seed, work));
+            bucket_prompts.push((arrival.seed, work));
         }
     }
     prompts
@@ -142,14 +142,14 @@
     client: &Client,
     prober: &Prober,
     plan: IdlePlan,
-    works: Vec<(u64, ModelWork)>,
+    requests: Vec<(u64, ModelWork)>,
 ) -> IdleLength {
     let started = Instant::now();
-    let mut times = Times::new();
+    let mut times = LatencyHistogram::new();
     let mut refused = 0;
     let mut failed = 0;
     let mut first_problem = None;
-    for (seed, work) in works {
+    for (seed, work) in requests {
         if started.elapsed() > plan.bucket_limit {
             break;
         }
--- a/crates/load/src/latency.rs
+++ b/crates/load/src/latency.rs
@@ -11,13 +11,13 @@
 use futures_util::future::join_all;
 use serde::{Deserialize, Serialize};
 
-use crate::exchange::{Exchanged, exchange};
+use crate::exchange::{ExchangeResult, exchange};
 use crate::probe::{Destination, Prober, PromptSize};
 use crate::sample::End;
-use crate::times::{Quantiles, Times};
+use crate::times::{LatencyHistogram, Quantiles};
 
 /// Distance between the seeds of two workers; far above any number of pairs.
-const WORKER_SEEDS: u64 = 1 << 32;
+const WORKER_SEED_STRIDE: u64 = 1 << 32;
 
 /// Pairs of a comparison that sets none.
 const DEFAULT_PAIRS: u64 = 500;
@@ -133,8 +133,8 @@
 }
 
 struct Path {
-    first_token: Times,
-    total: Times,
+    first_token: LatencyHistogram,
+    total: LatencyHistogram,
     errors: u64,
     wrong_answers: u64,
     first_problem: Option<String>,
@@ -143,8 +143,8 @@
 impl Default for Path {
     fn default() -> Self {
         Self {
-            first_token: Times::fine(),
-            total: Times::fine(),
+            first_token: LatencyHistogram::high_resolution(),
+            total: LatencyHistogram::high_resolution(),
             errors: 0,
             wrong_answers: 0,
             first_problem: None,
@@ -186,7 +186,7 @@
 ) {
     let first_seed = comparison
         .seed
-        .wrapping_add(worker.wrapping_mul(WORKER_SEEDS));
+        .wrapping_add(worker.wrapping_mul(WORKER_SEED_STRIDE));
     for pair in 0..comparison.warm_up_pairs + comparison.pairs {
         let seed = first_seed.wrapping_add(pair);
         let [daemon, engine] = run_pair(client, prober, comparison, seed).await;
@@ -201,7 +201,7 @@
     prober: &Prober,
     comparison: Comparison,
     seed: u64,
-) -> [Exchanged; 2] {
+) -> [ExchangeResult; 2] {
     let work = prober.work(comparison.prompt_size);
     let daemon = exchange(client, prober.outgoing(comparison.daemon, &work, seed));
     let engine = exchange(client, prober.outgoing(comparison.engine, &work, seed));
@@ -216,7 +216,7 @@
 }
 
 impl State {
-    fn add(&mut self, daemon: Exchanged, engine: Exchanged) {
+    fn add(&mut self, daemon: ExchangeResult, engine: ExchangeResult) {
         if let (Some(through), Some(direct)) = (daemon.first_token, engine.first_token) {
             let added_s = through.as_secs_f64() - direct.as_secs_f64();
             self.paired_ms.push(added_s * 1000.0);
@@ -227,7 +227,7 @@
 }
 
 impl Path {
-    fn add(&mut self, exchanged: Exchanged) {
+    fn add(&mut self, exchanged: ExchangeResult) {
         let problem = match exchanged.end {
             End::Done => {
                 if let Some(first_token) = exchanged.first_token {
@@ -259,7 +259,7 @@
     }
 }
 
-fn added(daemon: &Times, engine: &Times) -> Added {
+fn added(daemon: &LatencyHistogram, engine: &LatencyHistogram) -> Added {
     let difference = |share| {
         let difference_ms = daemon.quantile_ms(share) - engine.quantile_ms(share);
         (difference_ms * 1000.0).round() / 1000.0
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -13,10 +13,9 @@
 pub mod answers;
 pub mod capacity;
 pub mod cli;
-pub mod counted;
-mod dialect;
+pub mod compare;
 pub mod exchange;
-pub mod figures;
+pub mod executions;
 pub mod generator;
 pub mod idle;
 pub mod latency;
@@ -30,3 +29,4 @@
 pub mod text;
 pub mod times;
 pub mod verify;
+mod wire;
--- a/crates/load/src/probe.rs
+++ b/crates/load/src/probe.rs
@@ -11,7 +11,7 @@
 use crate::exchange::{Answer, Outgoing};
 use crate::scenario::{Endpoint, Scenario};
 use crate::schedule::ModelWork;
-use crate::text::{Slab, fresh_salt};
+use crate::text::{TextPool, fresh_salt};
 
 /// Time after which a probe is given up.
 const TIME_LIMIT: Duration = Duration::from_secs(300);
@@ -64,21 +64,21 @@
     /// Rule by which engines answer.
     pub rule: AnswerRule,
     /// Text of the prompts.
-    pub slab: Rc<Slab>,
+    pub text_pool: Rc<TextPool>,
 }
 
 impl Prober {
     /// Probes in the name of a scenario's largest organisation and first class
     /// of prompts; `None` when the scenario has no prompts.
     #[must_use]
-    pub fn of(scenario: &Scenario, rule: AnswerRule) -> Option<Self> {
+    pub fn for_scenario(scenario: &Scenario, rule: AnswerRule) -> Option<Self> {
         let first = scenario.first_model()?;
         Some(Self {
             model: first.model.clone(),
             class: first.class.clone(),
             organisation: scenario.organisations.first()?.clone(),
             rule,
-            slab: Rc::new(Slab::new(fresh_salt())),
+            text_pool: Rc::new(TextPool::new(fresh_salt())),
         })
     }
 
@@ -98,7 +98,7 @@
     /// Request for `work`, whose text comes from `seed`.
     #[must_use]
     pub fn outgoing(&self, to: Destination, work: &ModelWork, seed: u64) -> Outgoing {
-        let body = self.slab.body(work, seed);
+        let body = self.text_pool.body(work, seed);
         let expected = self.rule.expected(work.endpoint, &body);
         let (Destination::Daemon(address) | Destination::Engine(address)) = to;
         Outgoing {
@@ -111,21 +111,21 @@
     }
 
     fn headers(&self, to: Destination) -> Vec<(&'static str, String)> {
-        let mut named = vec![("content-type", "application/json".to_owned())];
+        let mut named_headers = vec![("content-type", "application/json".to_owned())];
         match to {
             Destination::Daemon(_) => {
-                named.push((headers::CLASS, self.class.clone()));
-                named.push((headers::ORGANISATION, self.organisation.clone()));
+                named_headers.push((headers::CLASS, self.class.clone()));
+                named_headers.push((headers::ORGANISATION, self.organisation.clone()));
             }
             Destination::Engine(_) => {
                 // An engine keeps a request's stream for a while: an id used
                 // before would name that one.
-                named.push((headers::REQUEST_ID, uuid::Uuid::now_v7().to_string()));
-                named.push((headers::ATTEMPT, "1".to_owned()));
-                named.push((headers::PRIORITY, PRIORITY.to_owned()));
-                named.push((headers::DEADLINE_MS, TIME_LIMIT.as_millis().to_string()));
+                named_headers.push((headers::REQUEST_ID, uuid::Uuid::now_v7().to_string()));
+                named_headers.push((headers::ATTEMPT, "1".to_owned()));
+                named_headers.push((headers::PRIORITY, PRIORITY.to_owned()));
+                named_headers.push((headers::DEADLINE_MS, TIME_LIMIT.as_millis().to_string()));
             }
         }
-        named
+        named_headers
     }
 }
--- a/crates/load/src/report/build.rs
+++ b/crates/load/src/report/build.rs
@@ -6,44 +6,44 @@
 use mangofront_http::Outcome;
 use mangofront_settings::published::{Class, Configuration};
 
-use super::facts::RunFacts;
+use super::metadata::RunMetadata;
 use super::rounding::{millis, rounded, share};
 use super::shares::{fairness, services};
 use super::{
     ClassReport, Counts, GeneratorReport, Goodput, LengthBucket, LengthReport, ProblemReport,
     REPORT_VERSION, Report, RunReport,
 };
-use crate::generator::Record;
+use crate::generator::RunRecord;
 use crate::sample::{End, Sample, SampleKind};
-use crate::times::{Times, scaled};
+use crate::times::{LatencyHistogram, scaled};
 
 /// Most problems of a kind listed.
-const PROBLEMS_LISTED: usize = 20;
+const MAX_PROBLEMS_LISTED: usize = 20;
 
 /// Makes the report of `record`, judged by the targets in `configuration`.
 #[must_use]
-pub fn build(facts: &RunFacts, configuration: &Configuration, record: &Record) -> Report {
+pub fn build(metadata: &RunMetadata, configuration: &Configuration, record: &RunRecord) -> Report {
     let samples = record.samples.as_slice();
-    let limits = Limits {
+    let limits = ClassLimits {
         configuration,
-        time_scale: facts.time_scale,
+        time_scale: metadata.time_scale,
     };
     Report {
         report_version: REPORT_VERSION,
-        run: run_report(facts, record),
+        run: run_report(metadata, record),
         counts: counts(samples.iter()),
         generator: GeneratorReport {
             lateness: samples
                 .iter()
                 .map(|s| s.lateness)
-                .collect::<Times>()
+                .collect::<LatencyHistogram>()
                 .quantiles(),
             in_flight_max: record.in_flight_max,
         },
         by_length: by_length(samples),
         by_class: by_class(samples, &limits),
-        time_between_tokens: record.gaps.quantiles(),
-        goodput: goodput(samples, &limits, facts.plan.duration),
+        time_between_tokens: record.inter_token_times.quantiles(),
+        goodput: goodput(samples, &limits, metadata.plan.duration),
         refused_by_code: count_by(samples, refusal_code),
         refusal_answer_time: refusal_answer_time(samples),
         failed_by_cause: count_by(samples, failure_cause),
@@ -62,21 +62,21 @@
 }
 
 /// Targets of the classes, in the wall clock's time.
-struct Limits<'a> {
+struct ClassLimits<'a> {
     configuration: &'a Configuration,
     time_scale: f64,
 }
 
-impl Limits<'_> {
+impl ClassLimits<'_> {
     fn target(&self, class: &str) -> Duration {
-        self.of(class, Class::time_to_first_token)
+        self.class_time(class, Class::time_to_first_token)
     }
 
     fn limit(&self, class: &str) -> Duration {
-        self.of(class, Class::time_limit)
+        self.class_time(class, Class::time_limit)
     }
 
-    fn of(&self, class: &str, time: fn(&Class) -> Duration) -> Duration {
+    fn class_time(&self, class: &str, time: fn(&Class) -> Duration) -> Duration {
         let class = self.configuration.classes.get(class);
         class.map_or(Duration::MAX, |class| scaled(time(class), self.time_scale))
     }
@@ -96,16 +96,16 @@
     }
 }
 
-fn run_report(facts: &RunFacts, record: &Record) -> RunReport {
+fn run_report(metadata: &RunMetadata, record: &RunRecord) -> RunReport {
     RunReport {
-        scenario: facts.scenario.clone(),
-        seed: facts.plan.seed,
-        text_salt: facts.text_salt,
-        targets: facts.targets,
-        rate_per_s: facts.plan.rate_per_s,
-        time_scale: facts.time_scale,
-        without_long: facts.plan.without_long,
-        arrivals_ms: millis(facts.plan.duration),
+        scenario: metadata.scenario.clone(),
+        seed: metadata.plan.seed,
+        text_salt: metadata.text_salt,
+        targets: metadata.targets,
+        rate_per_s: metadata.plan.rate_per_s,
+        time_scale: metadata.time_scale,
+        without_long: metadata.plan.without_long,
+        arrivals_ms: millis(metadata.plan.duration),
         elapsed_ms: millis(record.elapsed),
     }
 }
@@ -144,14 +144,14 @@
         .collect()
 }
 
-fn first_tokens(group: &[&Sample]) -> Times {
+fn first_tokens(group: &[&Sample]) -> LatencyHistogram {
     group
         .iter()
         .filter_map(|sample| sample.first_token)
         .collect()
 }
 
-fn by_class(samples: &[Sample], limits: &Limits<'_>) -> BTreeMap<String, ClassReport> {
+fn by_class(samples: &[Sample], limits: &ClassLimits<'_>) -> BTreeMap<String, ClassReport> {
     let mut groups: BTreeMap<&str, Vec<&Sample>> = BTreeMap::new();
     for sample in samples {
         groups.entry(&sample.class).or_default().push(sample);
@@ -162,7 +162,7 @@
         .collect()
 }
 
-fn class_report(class: &str, group: &[&Sample], limits: &Limits<'_>) -> ClassReport {
+fn class_report(class: &str, group: &[&Sample], limits: &ClassLimits<'_>) -> ClassReport {
     let admitted: Vec<&Sample> = group.iter().copied().filter(|s| is_admitted(s)).collect();
     let met_target = admitted.iter().filter(|s| limits.meets_target(s)).count();
     let met_limit = admitted.iter().filter(|s| limits.meets_limit(s)).count();
@@ -172,7 +172,10 @@
         limit_ms: millis(limits.limit(class)),
         counts: counts(group.iter().copied()),
         time_to_first_token: first_tokens(group).quantiles(),
-        total: done.map(|s| s.total).collect::<Times>().quantiles(),
+        total: done
+            .map(|s| s.total)
+            .collect::<LatencyHistogram>()
+            .quantiles(),
         target_met_share: share(met_target as u64, admitted.len() as u64),
         limit_met_share: share(met_limit as u64, admitted.len() as u64),
     }
@@ -187,7 +190,7 @@
 
 /// Counts what ended while requests still arrived: the quiet time after the
 /// last arrival says nothing of the load.
-fn goodput(samples: &[Sample], limits: &Limits<'_>, arrivals: Duration) -> Goodput {
+fn goodput(samples: &[Sample], limits: &ClassLimits<'_>, arrivals: Duration) -> Goodput {
     let ended_in_time = |sample: &&Sample| sample.due + sample.lateness + sample.total <= arrivals;
     let good = samples.iter().filter(|sample| limits.meets_limit(sample));
     let (requests, tokens) = good
@@ -211,7 +214,7 @@
         .filter(|sample| matches!(sample.end, End::Refused { .. }));
     refused
         .map(|sample| sample.total)
-        .collect::<Times>()
+        .collect::<LatencyHistogram>()
         .quantiles()
 }
 
@@ -242,12 +245,15 @@
     counts
 }
 
-fn first_problems(samples: &[Sample], of: fn(&End) -> Option<&String>) -> Vec<ProblemReport> {
+fn first_problems(
+    samples: &[Sample],
+    problem_of: fn(&End) -> Option<&String>,
+) -> Vec<ProblemReport> {
     let problems = samples.iter().filter_map(|sample| {
         Some(ProblemReport {
             request_id: sample.request_id.clone(),
-            problem: of(&sample.end)?.clone(),
+            problem: problem_of(&sample.end)?.clone(),
         })
     });
-    problems.take(PROBLEMS_LISTED).collect()
+    problems.take(MAX_PROBLEMS_LISTED).collect()
 }
--- a/crates/load/src/report/chart.rs
+++ b/crates/load/src/report/chart.rs
@@ -8,10 +8,10 @@
 use crate::times::Quantiles;
 
 /// Size of the picture, in pixels.
-const SIZE: (u32, u32) = (1000, 900);
+const CHART_SIZE: (u32, u32) = (1000, 900);
 
 /// Height of the upper half, in pixels.
-const HALF_HEIGHT: u32 = 450;
+const UPPER_CHART_HEIGHT: u32 = 450;
 
 /// Width of one bar; the space of a group is 1.
 const BAR_WIDTH: f64 = 0.25;
@@ -24,7 +24,7 @@
 ];
 
 /// Colour of a class's target.
-const TARGET: RGBColor = RGBColor(200, 60, 40);
+const TARGET_COLOUR: RGBColor = RGBColor(200, 60, 40);
 
 /// Picture that could not be drawn.
 #[derive(Debug, Error)]
@@ -45,9 +45,9 @@
 pub fn write_chart(report: &Report) -> Result<String, ChartError> {
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, CHART_SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(failed)?;
-        let (upper, lower) = area.split_vertically(HALF_HEIGHT);
+        let (upper, lower) = area.split_vertically(UPPER_CHART_HEIGHT);
         let title = format!(
             "{} seed {}: time to first token by prompt length, ms",
             report.run.scenario, report.run.seed
@@ -69,10 +69,10 @@
 }
 
 fn class_groups(report: &Report) -> Vec<Group> {
-    let groups = report.by_class.iter().map(|(class, figures)| Group {
+    let groups = report.by_class.iter().map(|(class, class_report)| Group {
         name: class.clone(),
-        times: figures.time_to_first_token,
-        target_ms: Some(figures.target_ms),
+        times: class_report.time_to_first_token,
+        target_ms: Some(class_report.target_ms),
     });
     groups.filter(|group| group.times.count > 0).collect()
 }
@@ -101,7 +101,7 @@
     for (bar, (name, colour)) in BARS.into_iter().enumerate() {
         let bars = groups.iter().enumerate().map(|(index, group)| {
             let left = index as f64 + (bar as f64 - 1.5) * BAR_WIDTH;
-            let top = value(&group.times, bar).max(low);
+            let top = quantile_ms(&group.times, bar).max(low);
             Rectangle::new([(left, low), (left + BAR_WIDTH, top)], colour.filled())
         });
         chart
@@ -115,7 +115,7 @@
         let ends = [index as f64 - 0.45, index as f64 + 0.45];
         Some(PathElement::new(
             ends.map(|x| (x, target_ms)),
-            TARGET.stroke_width(3),
+            TARGET_COLOUR.stroke_width(3),
         ))
     });
     chart.draw_series(targets).map_err(failed)?;
@@ -156,14 +156,14 @@
 fn bounds(groups: &[Group]) -> (f64, f64) {
     let values = groups
         .iter()
-        .flat_map(|group| (0..BARS.len()).map(|bar| value(&group.times, bar)));
+        .flat_map(|group| (0..BARS.len()).map(|bar| quantile_ms(&group.times, bar)));
     let targets = groups.iter().filter_map(|group| group.target_ms);
     let high = values.clone().chain(targets).fold(1.0, f64::max);
     let low = values.filter(|ms| *ms > 0.0).fold(high, f64::min);
     (low / 2.0, high * 2.0)
 }
 
-const fn value(times: &Quantiles, bar: usize) -> f64 {
+const fn quantile_ms(times: &Quantiles, bar: usize) -> f64 {
     match bar {
         0 => times.p50_ms,
         1 => times.p95_ms,
--- a/crates/load/src/report/facts.rs
+++ b/crates/load/src/report/metadata.rs
@@ -1,13 +1,13 @@
 //! How a run was made.
 
-use crate::requests::Requests;
+use crate::requests::RequestFactory;
 use crate::scenario::Scenario;
 use crate::schedule::Plan;
 use crate::text::TextSalt;
 
 /// What the record does not say about its run.
 #[derive(Debug, Clone)]
-pub struct RunFacts {
+pub struct RunMetadata {
     pub(super) scenario: String,
     pub(super) plan: Plan,
     pub(super) targets: usize,
@@ -15,11 +15,11 @@
     pub(super) text_salt: TextSalt,
 }
 
-impl RunFacts {
+impl RunMetadata {
     /// Facts of a run of `scenario` under `plan`, which is in the wall clock's
     /// time, with `requests`.
     #[must_use]
-    pub fn new(scenario: &Scenario, plan: Plan, requests: &Requests) -> Self {
+    pub fn new(scenario: &Scenario, plan: Plan, requests: &RequestFactory) -> Self {
         Self {
             scenario: scenario.name.clone(),
             plan,
--- a/crates/load/src/report/mod.rs
+++ b/crates/load/src/report/mod.rs
@@ -5,7 +5,7 @@
 
 mod build;
 mod chart;
-mod facts;
+mod metadata;
 mod rounding;
 mod shares;
 mod table;
@@ -17,11 +17,11 @@
 
 pub use build::build;
 pub use chart::{ChartError, write_chart};
-pub use facts::RunFacts;
 pub use mangofront_prompt::LengthBucket;
+pub use metadata::RunMetadata;
 pub use table::table;
 
-use crate::counted::CountedServices;
+use crate::executions::ExecutionCheck;
 use crate::times::Quantiles;
 
 /// Version of the report's form.
@@ -57,7 +57,7 @@
     /// Calls of services.
     pub services: ServiceReport,
     /// What the services themselves counted, when they were asked.
-    pub counted_services: Option<CountedServices>,
+    pub counted_services: Option<ExecutionCheck>,
     /// First failures.
     pub first_failures: Vec<ProblemReport>,
     /// First wrong answers.
--- a/crates/load/src/report/table.rs
+++ b/crates/load/src/report/table.rs
@@ -6,7 +6,7 @@
 use crate::times::Quantiles;
 
 /// Most failures shown; the JSON form has more.
-const FAILURES_SHOWN: usize = 3;
+const MAX_FAILURES_SHOWN: usize = 3;
 
 /// Report for a person at a terminal.
 #[must_use]
@@ -31,7 +31,7 @@
     write_counts(text, report)?;
     write_lengths(text, report)?;
     write_classes(text, report)?;
-    write_rest(text, report)
+    write_remainder(text, report)
 }
 
 fn write_run(text: &mut String, report: &Report) -> std::fmt::Result {
@@ -127,12 +127,12 @@
     )
 }
 
-fn write_rest(text: &mut String, report: &Report) -> std::fmt::Result {
-    let gaps = &report.time_between_tokens;
+fn write_remainder(text: &mut String, report: &Report) -> std::fmt::Result {
+    let inter_token = &report.time_between_tokens;
     writeln!(
         text,
         "\ntokens      time between p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms",
-        gaps.p50_ms, gaps.p95_ms, gaps.p99_ms,
+        inter_token.p50_ms, inter_token.p95_ms, inter_token.p99_ms,
     )?;
     writeln!(
         text,
@@ -176,7 +176,7 @@
     for (cause, count) in &report.failed_by_cause {
         writeln!(text, "  failed {cause}: {count}")?;
     }
-    for failure in report.first_failures.iter().take(FAILURES_SHOWN) {
+    for failure in report.first_failures.iter().take(MAX_FAILURES_SHOWN) {
         let id = failure.request_id.as_deref().unwrap_or("without id");
         writeln!(text, "    {id}: {}", failure.problem)?;
     }
--- a/crates/load/src/requests.rs
+++ b/crates/load/src/requests.rs
@@ -14,31 +14,31 @@
 use crate::exchange::{Answer, Outgoing};
 use crate::scenario::Scenario;
 use crate::schedule::{Arrival, ModelWork, ServiceWork, Work};
-use crate::text::{Slab, TextSalt};
+use crate::text::{TextPool, TextSalt};
 use crate::times::scaled;
 
 /// Time over its class's limit after which the tool gives a request up. The
 /// daemon has to answer within the limit; the rest is for the way.
-const GRACE: Duration = Duration::from_secs(5);
+const CLIENT_GRACE: Duration = Duration::from_secs(5);
 
 /// Limit of a request whose class is not configured.
 const DEFAULT_LIMIT: Duration = Duration::from_secs(60);
 
 /// Makes requests for targets in turn.
 #[derive(Debug)]
-pub struct Requests {
+pub struct RequestFactory {
     targets: Vec<SocketAddr>,
-    next_target: Cell<usize>,
+    next_target_index: Cell<usize>,
     classes: BTreeMap<ClassName, Class>,
     time_scale: f64,
     started_at: Duration,
-    slab: Slab,
+    text_pool: TextPool,
     rule: AnswerRule,
 }
 
-/// Settings of [`Requests`].
+/// Settings of [`RequestFactory`].
 #[derive(Debug)]
-pub struct RequestsBuilder {
+pub struct RequestFactoryBuilder {
     targets: Vec<SocketAddr>,
     classes: BTreeMap<ClassName, Class>,
     time_scale: f64,
@@ -46,7 +46,7 @@
     rule: AnswerRule,
 }
 
-impl RequestsBuilder {
+impl RequestFactoryBuilder {
     /// Factor on the durations of the scenario; 1 by default.
     #[must_use]
     pub const fn time_scale(mut self, time_scale: f64) -> Self {
@@ -70,26 +70,26 @@
 
     /// The requests; keys count as minted from now on.
     #[must_use]
-    pub fn build(self) -> Requests {
+    pub fn build(self) -> RequestFactory {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        Requests {
+        RequestFactory {
             targets: self.targets,
-            next_target: Cell::new(0),
+            next_target_index: Cell::new(0),
             classes: self.classes,
             time_scale: self.time_scale,
             // A clock before 1970 only makes keys look old.
             started_at: now.unwrap_or_default(),
-            slab: Slab::new(self.text_salt),
+            text_pool: TextPool::new(self.text_salt),
             rule: self.rule,
         }
     }
 }
 
-impl Requests {
+impl RequestFactory {
     /// Requests of `scenario` for `targets`, of which there must be one.
     #[must_use]
-    pub fn builder(scenario: &Scenario, targets: Vec<SocketAddr>) -> RequestsBuilder {
-        RequestsBuilder {
+    pub fn builder(scenario: &Scenario, targets: Vec<SocketAddr>) -> RequestFactoryBuilder {
+        RequestFactoryBuilder {
             targets,
             classes: scenario.configuration.classes.clone(),
             time_scale: 1.0,
@@ -113,15 +113,15 @@
     /// Salt of the texts.
     #[must_use]
     pub fn text_salt(&self) -> TextSalt {
-        self.slab.salt()
+        self.text_pool.salt()
     }
 
     /// Request of `arrival` for the next target.
     #[must_use]
     pub fn outgoing(&self, arrival: &Arrival) -> Outgoing {
         match &arrival.work {
-            Work::Model(work) => self.model(arrival, work),
-            Work::Service(work) => self.service(arrival, work),
+            Work::Model(work) => self.model_request(arrival, work),
+            Work::Service(work) => self.service_request(arrival, work),
         }
     }
 
@@ -130,7 +130,7 @@
     pub fn repeat(&self, arrival: &Arrival, first: &Outgoing) -> Outgoing {
         match &arrival.work {
             Work::Model(_) => first.clone(),
-            Work::Service(work) => self.service(arrival, work),
+            Work::Service(work) => self.service_request(arrival, work),
         }
     }
 
@@ -146,12 +146,12 @@
             .to_string()
     }
 
-    fn model(&self, arrival: &Arrival, work: &ModelWork) -> Outgoing {
-        let body = self.slab.body(work, arrival.seed);
+    fn model_request(&self, arrival: &Arrival, work: &ModelWork) -> Outgoing {
+        let body = self.text_pool.body(work, arrival.seed);
         let expected = self.rule.expected(work.endpoint, &body);
         Outgoing {
-            url: format!("http://{}{}", self.target(), work.endpoint.path()),
-            headers: common_headers(arrival),
+            url: format!("http://{}{}", self.next_target(), work.endpoint.path()),
+            headers: class_headers(arrival),
             body,
             answer: if work.stream {
                 Answer::Stream(expected)
@@ -162,22 +162,22 @@
         }
     }
 
-    fn service(&self, arrival: &Arrival, work: &ServiceWork) -> Outgoing {
-        let target = self.target();
-        let mut named = common_headers(arrival);
-        named.push((headers::IDEMPOTENCY_KEY, self.key(arrival)));
+    fn service_request(&self, arrival: &Arrival, work: &ServiceWork) -> Outgoing {
+        let target = self.next_target();
+        let mut headers_of_call = class_headers(arrival);
+        headers_of_call.push((headers::IDEMPOTENCY_KEY, self.key(arrival)));
         Outgoing {
             url: format!("http://{target}/v1/services/{}/{}", work.service, work.path),
-            headers: named,
+            headers: headers_of_call,
             body: Bytes::from_static(b"{}"),
             answer: Answer::Service,
             time_limit: self.time_limit(&arrival.class),
         }
     }
 
-    fn target(&self) -> SocketAddr {
-        let next = self.next_target.get();
-        self.next_target.set((next + 1) % self.targets.len());
+    fn next_target(&self) -> SocketAddr {
+        let next = self.next_target_index.get();
+        self.next_target_index.set((next + 1) % self.targets.len());
         self.targets[next]
     }
 
@@ -186,11 +186,11 @@
             .classes
             .get(class)
             .map_or(DEFAULT_LIMIT, Class::time_limit);
-        scaled(limit, self.time_scale) + GRACE
+        scaled(limit, self.time_scale) + CLIENT_GRACE
     }
 }
 
-fn common_headers(arrival: &Arrival) -> Vec<(&'static str, String)> {
+fn class_headers(arrival: &Arrival) -> Vec<(&'static str, String)> {
     vec![
         ("content-type", "application/json".to_owned()),
         (headers::CLASS, arrival.class.clone()),
--- a/crates/load/src/scenario/check.rs
+++ b/crates/load/src/scenario/check.rs
@@ -5,7 +5,7 @@
 use super::{Kind, LengthRange, ModelKind, Scenario};
 
 /// Longest prompt of a scenario, in tokens: twice what users send today.
-const LONGEST_PROMPT_TOKENS: u64 = 2_000_000;
+const MAX_PROMPT_TOKENS: u64 = 2_000_000;
 
 impl Scenario {
     /// First contradiction, as a sentence.
@@ -58,7 +58,7 @@
     let sound = |range: &LengthRange| {
         0 < range.from_tokens
             && range.from_tokens <= range.to_tokens
-            && range.to_tokens <= LONGEST_PROMPT_TOKENS
+            && range.to_tokens <= MAX_PROMPT_TOKENS
             && is_positive(range.weight)
     };
     if kind.lengths.is_empty() || !kind.lengths.iter().all(sound) {
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -15,7 +15,7 @@
 use crate::scenario::{Endpoint, Kind, LONG_TOKENS, ModelKind, Scenario, ServiceKind};
 
 /// Share of a prompt that is taken from a history, when it has one.
-const SHARED_PREFIX_PART: f64 = 0.8;
+const SHARED_PREFIX_FRACTION: f64 = 0.8;
 
 /// One request of the schedule.
 #[derive(Debug, Clone, Serialize)]
@@ -164,8 +164,8 @@
         // One generator for each arrival: what one kind draws can't shift the
         // next arrival.
         let mut rng = StdRng::seed_from_u64(self.rng.random());
-        let organisation = pick(&mut rng, &self.organisation_weights);
-        let kind = &self.scenario.mix[pick(&mut rng, &self.kind_weights)];
+        let organisation = weighted_index(&mut rng, &self.organisation_weights);
+        let kind = &self.scenario.mix[weighted_index(&mut rng, &self.kind_weights)];
         let work = match kind {
             Kind::Model(kind) => {
                 let histories = u64::from(self.scenario.histories_per_organisation);
@@ -183,7 +183,7 @@
         }
     }
 
-    fn is_left_out(&self, arrival: &Arrival) -> bool {
+    fn is_excluded(&self, arrival: &Arrival) -> bool {
         match &arrival.work {
             Work::Model(work) => self.plan.without_long && work.length_tokens > LONG_TOKENS,
             Work::Service(_) => false,
@@ -203,7 +203,7 @@
             if arrival.at >= self.plan.duration {
                 return None;
             }
-            if !self.is_left_out(&arrival) {
+            if !self.is_excluded(&arrival) {
                 return Some(arrival);
             }
         }
@@ -217,15 +217,15 @@
     histories: u64,
 ) -> ModelWork {
     let weights: Vec<f64> = kind.lengths.iter().map(|range| range.weight).collect();
-    let range = kind.lengths[pick(rng, &weights)];
+    let range = kind.lengths[weighted_index(rng, &weights)];
     let length_tokens = log_uniform(rng, range.from_tokens, range.to_tokens);
     let [least, greatest] = kind.max_tokens;
     let max_tokens = rng.random_range(least..=greatest);
-    let shares = rng.random::<f64>() < kind.shared_prefix_share;
+    let has_shared_prefix = rng.random::<f64>() < kind.shared_prefix_share;
     let history = rng.random_range(0..histories.max(1));
     let shared = History {
         seed: organisation as u64 * histories.max(1) + history,
-        length_tokens: (length_tokens as f64 * SHARED_PREFIX_PART) as u64,
+        length_tokens: (length_tokens as f64 * SHARED_PREFIX_FRACTION) as u64,
     };
     ModelWork {
         model: kind.model.clone(),
@@ -233,7 +233,7 @@
         stream: kind.stream,
         max_tokens,
         length_tokens,
-        history: (shares && histories > 0).then_some(shared),
+        history: (has_shared_prefix && histories > 0).then_some(shared),
     }
 }
 
@@ -259,12 +259,12 @@
 }
 
 /// Index drawn with probabilities in the ratio of `weights`.
-fn pick(rng: &mut StdRng, weights: &[f64]) -> usize {
+fn weighted_index(rng: &mut StdRng, weights: &[f64]) -> usize {
     let total: f64 = weights.iter().sum();
-    let mut left = rng.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     for (index, weight) in weights.iter().enumerate() {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return index;
         }
     }
--- a/crates/load/src/text.rs
+++ b/crates/load/src/text.rs
@@ -15,16 +15,16 @@
 use crate::schedule::ModelWork;
 
 /// Length of the slab, in bytes; a power of two above the longest prompt.
-const SLAB_BYTES: usize = 8 * 1024 * 1024;
+const POOL_BYTES: usize = 8 * 1024 * 1024;
 
 /// Seed of the slab: the same text in every run and process.
-const SLAB_SEED: u64 = 0x6d61_6e67_6f66_726f;
+const POOL_SEED: u64 = 0x6d61_6e67_6f66_726f;
 
 /// Longest word of the slab, in bytes.
-const WORD_BYTES: usize = 9;
+const MAX_WORD_BYTES: usize = 9;
 
 /// Space in a body for all that is not text, in bytes.
-const FRAME_BYTES: usize = 256;
+const BODY_OVERHEAD_BYTES: usize = 256;
 
 /// Number mixed into every text's seed.
 ///
@@ -42,32 +42,32 @@
 
 /// Random text of lower-case words, without anything that JSON escapes.
 #[derive(Debug)]
-pub struct Slab {
+pub struct TextPool {
     text: String,
     salt: TextSalt,
 }
 
-impl Slab {
+impl TextPool {
     /// Makes the slab, some milliseconds of work.
     #[must_use]
     pub fn new(salt: TextSalt) -> Self {
-        let mut rng = StdRng::seed_from_u64(SLAB_SEED);
-        let mut text = String::with_capacity(SLAB_BYTES);
-        let mut left_of_word = 0;
-        while text.len() < SLAB_BYTES {
+        let mut rng = StdRng::seed_from_u64(POOL_SEED);
+        let mut text = String::with_capacity(POOL_BYTES);
+        let mut word_letters_left = 0;
+        while text.len() < POOL_BYTES {
             // Eight letters of each draw: a draw for each letter would make the
             // start of the tool ten times slower.
             for byte in rng.random::<u64>().to_le_bytes() {
-                if left_of_word == 0 {
-                    left_of_word = 1 + usize::from(byte) % WORD_BYTES;
+                if word_letters_left == 0 {
+                    word_letters_left = 1 + usize::from(byte) % MAX_WORD_BYTES;
                     text.push(' ');
                 } else {
-                    left_of_word -= 1;
+                    word_letters_left -= 1;
                     text.push(char::from(b'a' + byte % 26));
                 }
             }
         }
-        text.truncate(SLAB_BYTES);
+        text.truncate(POOL_BYTES);
         Self { text, salt }
     }
 
@@ -76,18 +76,18 @@
     }
 
     /// Appends `length_bytes` of the text that belongs to `seed`.
-    fn push(&self, body: &mut String, seed: u64, length_bytes: usize) {
+    fn push_text(&self, body: &mut String, seed: u64, length_bytes: usize) {
         let seed = seed ^ self.salt;
-        let mark = format!("{seed:016x} ");
-        let mark_bytes = mark.len().min(length_bytes);
-        body.push_str(&mark[..mark_bytes]);
-        let mut left = length_bytes - mark_bytes;
+        let prefix = format!("{seed:016x} ");
+        let prefix_bytes = prefix.len().min(length_bytes);
+        body.push_str(&prefix[..prefix_bytes]);
+        let mut remaining_bytes = length_bytes - prefix_bytes;
         // Odd multiplier: distinct seeds get scattered starts.
-        let mut start = (seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) as usize % SLAB_BYTES;
-        while left > 0 {
-            let taken = left.min(SLAB_BYTES - start);
-            body.push_str(&self.text[start..start + taken]);
-            left -= taken;
+        let mut start = (seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) as usize % POOL_BYTES;
+        while remaining_bytes > 0 {
+            let copied = remaining_bytes.min(POOL_BYTES - start);
+            body.push_str(&self.text[start..start + copied]);
+            remaining_bytes -= copied;
             start = 0;
         }
     }
@@ -100,7 +100,7 @@
             history.length_tokens as usize * BYTES_PER_TOKEN
         });
         let own_bytes = length_bytes - shared_bytes.min(length_bytes);
-        let mut body = String::with_capacity(length_bytes + FRAME_BYTES);
+        let mut body = String::with_capacity(length_bytes + BODY_OVERHEAD_BYTES);
         body.push_str(&format!(
             r#"{{"model":{},"stream":{},"max_tokens":{},"#,
             Value::from(work.model.as_str()),
@@ -111,7 +111,7 @@
             Endpoint::Completions => {
                 body.push_str(r#""prompt":""#);
                 self.push_shared(&mut body, work);
-                self.push(&mut body, seed, own_bytes);
+                self.push_text(&mut body, seed, own_bytes);
                 body.push_str(r#""}"#);
             }
             Endpoint::ChatCompletions => {
@@ -122,7 +122,7 @@
                     body.push_str(r#""},"#);
                 }
                 body.push_str(r#"{"role":"user","content":""#);
-                self.push(&mut body, seed, own_bytes);
+                self.push_text(&mut body, seed, own_bytes);
                 body.push_str(r#""}]}"#);
             }
         }
@@ -132,7 +132,7 @@
     fn push_shared(&self, body: &mut String, work: &ModelWork) {
         if let Some(history) = work.history {
             let length_bytes = history.length_tokens as usize * BYTES_PER_TOKEN;
-            self.push(body, history.seed, length_bytes);
+            self.push_text(body, history.seed, length_bytes);
         }
     }
 }
--- a/crates/load/src/times.rs
+++ b/crates/load/src/times.rs
@@ -6,25 +6,25 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest time told apart, in microseconds: an hour.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_TIME_US: u64 = 3_600_000_000;
 
 /// Significant digits kept.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Longest time that [`Times::fine`] tells apart, in microseconds: a minute.
-const LONGEST_FINE_US: u64 = 60_000_000;
+/// Longest time that [`LatencyHistogram::high_resolution`] tells apart, in microseconds: a minute.
+const MAX_FINE_TIME_US: u64 = 60_000_000;
 
-/// Significant digits that [`Times::fine`] keeps.
-const FINE_DIGITS: u8 = 4;
+/// Significant digits that [`LatencyHistogram::high_resolution`] keeps.
+const FINE_SIGNIFICANT_DIGITS: u8 = 4;
 
 /// Longest duration that scaling gives: a day.
-const LONGEST: Duration = Duration::from_secs(24 * 60 * 60);
+const MAX_SCALED: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// `time` by `factor`, at most a day.
 #[must_use]
 pub fn scaled(time: Duration, factor: f64) -> Duration {
     let scaled = Duration::try_from_secs_f64(time.as_secs_f64() * factor);
-    scaled.map_or(LONGEST, |scaled| scaled.min(LONGEST))
+    scaled.map_or(MAX_SCALED, |scaled| scaled.min(MAX_SCALED))
 }
 
 /// Histogram of times.
@@ -33,15 +33,15 @@
 /// other; those above do not, and a test holds them to it. Were it not there,
 /// no time would be counted, which the reports' counts show.
 #[derive(Debug, Clone)]
-pub struct Times(Option<Histogram<u64>>);
+pub struct LatencyHistogram(Option<Histogram<u64>>);
 
-impl Default for Times {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl FromIterator<Duration> for Times {
+impl FromIterator<Duration> for LatencyHistogram {
     fn from_iter<I: IntoIterator<Item = Duration>>(times: I) -> Self {
         let mut all = Self::new();
         for time in times {
@@ -51,19 +51,19 @@
     }
 }
 
-impl Times {
+impl LatencyHistogram {
     /// Histogram without a time.
     #[must_use]
     pub fn new() -> Self {
-        Self::bounded(LONGEST_US, DIGITS)
+        Self::bounded(MAX_TIME_US, SIGNIFICANT_DIGITS)
     }
 
     /// Histogram for small differences of times up to a minute.
     ///
     /// It takes more than a megabyte, so it is not the default.
     #[must_use]
-    pub fn fine() -> Self {
-        Self::bounded(LONGEST_FINE_US, FINE_DIGITS)
+    pub fn high_resolution() -> Self {
+        Self::bounded(MAX_FINE_TIME_US, FINE_SIGNIFICANT_DIGITS)
     }
 
     fn bounded(longest_us: u64, digits: u8) -> Self {
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -39,7 +39,7 @@
 pub enum WrongAnswer {
     /// Other text than expected.
     #[error("token {offset} differs: expected {expected:?}, got {got:?}")]
-    Differs {
+    TokenMismatch {
         /// Offset of the token.
         offset: u32,
         /// Rest of that token's text.
@@ -49,7 +49,7 @@
     },
     /// A frame says another offset than the next one.
     #[error("frame of offset {got} where {expected} was due")]
-    Offset {
+    OffsetMismatch {
         /// Offset due.
         expected: u32,
         /// Offset that the frame names.
@@ -80,7 +80,7 @@
     NotRunAfterTokens,
     /// The stream ended without its end mark.
     #[error("stream ends without [DONE]")]
-    NoEndMark,
+    MissingDoneMarker,
     /// An event after the end mark or a body of another shape.
     #[error("answer is malformed: {0}")]
     Malformed(String),
@@ -91,21 +91,21 @@
 /// Invariant: all text before `rest` was checked; `rest` is the unread part of
 /// the token before `next_offset`.
 #[derive(Debug)]
-pub struct Check {
+pub struct AnswerChecker {
     expected: Expected,
     next_offset: u32,
-    rest: String,
+    remaining_text: String,
     finish_reasons: u32,
 }
 
-impl Check {
-    /// Check that has read nothing.
+impl AnswerChecker {
+    /// Checker that has read nothing.
     #[must_use]
     pub const fn new(expected: Expected) -> Self {
         Self {
             expected,
             next_offset: 0,
-            rest: String::new(),
+            remaining_text: String::new(),
             finish_reasons: 0,
         }
     }
@@ -119,7 +119,7 @@
             return Ok(());
         }
         let expected = self.next_offset;
-        Err(WrongAnswer::Offset { expected, got })
+        Err(WrongAnswer::OffsetMismatch { expected, got })
     }
 
     /// Takes the next piece of text; pieces may split or join tokens.
@@ -128,19 +128,19 @@
     /// [`WrongAnswer`] at the first difference.
     pub fn text(&mut self, mut piece: &str) -> Result<(), WrongAnswer> {
         while !piece.is_empty() {
-            if self.rest.is_empty() {
+            if self.remaining_text.is_empty() {
                 self.next_token()?;
             }
-            let common = common_prefix_bytes(&self.rest, piece);
-            let whole = common == self.rest.len() || common == piece.len();
-            if !whole || common == 0 {
-                return Err(WrongAnswer::Differs {
+            let common = common_prefix_bytes(&self.remaining_text, piece);
+            let compatible = common == self.remaining_text.len() || common == piece.len();
+            if !compatible || common == 0 {
+                return Err(WrongAnswer::TokenMismatch {
                     offset: self.next_offset - 1,
-                    expected: self.rest.clone(),
+                    expected: self.remaining_text.clone(),
                     got: piece.to_owned(),
                 });
             }
-            self.rest.drain(..common);
+            self.remaining_text.drain(..common);
             piece = &piece[common..];
         }
         Ok(())
@@ -161,7 +161,7 @@
     /// Whole tokens read so far.
     #[must_use]
     pub const fn tokens(&self) -> u32 {
-        if self.rest.is_empty() {
+        if self.remaining_text.is_empty() {
             self.next_offset
         } else {
             self.next_offset - 1
@@ -197,7 +197,7 @@
         if self.next_offset >= length_tokens {
             return Err(WrongAnswer::TooLong { length_tokens });
         }
-        self.rest = token_text(digest, self.next_offset);
+        self.remaining_text = token_text(digest, self.next_offset);
         self.next_offset += 1;
         Ok(())
     }
--- a/crates/load/tests/emulated.rs
+++ b/crates/load/tests/emulated.rs
@@ -18,7 +18,7 @@
     let runtime = compio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
         let scenario = Scenario::load("demo").expect("an embedded scenario");
-        let prober = Prober::of(&scenario, AnswerRule::standin()).expect("prompts");
+        let prober = Prober::for_scenario(&scenario, AnswerRule::standin()).expect("prompts");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let engine = Destination::Engine(listener.local_addr().expect("an address"));
         let settings = EngineSettings {
--- a/crates/load/tests/generator.rs
+++ b/crates/load/tests/generator.rs
@@ -6,10 +6,10 @@
 
 use std::time::Duration;
 
-use mangofront_load::counted;
+use mangofront_load::executions;
 use mangofront_load::generator::generate;
-use mangofront_load::report::{Report, RunFacts, build};
-use mangofront_load::requests::Requests;
+use mangofront_load::report::{Report, RunMetadata, build};
+use mangofront_load::requests::RequestFactory;
 use mangofront_load::scenario::Scenario;
 use mangofront_load::schedule::{Plan, Schedule};
 
@@ -23,19 +23,19 @@
         .seed(7)
         .without_long(true);
     let runtime = compio::runtime::Runtime::new().unwrap();
-    let (record, facts) = runtime.block_on(async {
+    let (record, metadata) = runtime.block_on(async {
         let targets = vec![server(fault).await, server(fault).await];
-        let requests = Requests::builder(&scenario, targets)
+        let requests = RequestFactory::builder(&scenario, targets)
             .time_scale(time_scale)
             .rule(rule())
             .build();
         let client = mangofront_http::client().unwrap();
         let schedule = Schedule::new(&scenario, plan);
-        let facts = RunFacts::new(&scenario, plan, &requests);
+        let metadata = RunMetadata::new(&scenario, plan, &requests);
         let record = generate(client, requests, concurrency_cap, schedule).await;
-        (record, facts)
+        (record, metadata)
     });
-    build(&facts, &scenario.configuration, &record)
+    build(&metadata, &scenario.configuration, &record)
 }
 
 #[test]
@@ -56,7 +56,7 @@
         Fault::SwapTwoTokens,
         Fault::DropLastToken,
         Fault::RepeatToken,
-        Fault::NoEndMark,
+        Fault::MissingDoneMarker,
         Fault::NotRunInStream,
         Fault::EventAfterError,
     ] {
@@ -69,13 +69,13 @@
             .sum();
         // Plain JSON answers are no streams: what is wrong with a stream's end
         // can't be wrong with them.
-        let spared = report.counts.done - service_calls(&report);
-        let spares = matches!(
+        let undetected = report.counts.done - service_calls(&report);
+        let affects_streams_only = matches!(
             fault,
-            Fault::NoEndMark | Fault::NotRunInStream | Fault::EventAfterError
+            Fault::MissingDoneMarker | Fault::NotRunInStream | Fault::EventAfterError
         );
-        assert_eq!(wrong + spared, prompts, "{fault:?}");
-        assert_eq!(spared > 0, spares, "{fault:?}");
+        assert_eq!(wrong + undetected, prompts, "{fault:?}");
+        assert_eq!(undetected > 0, affects_streams_only, "{fault:?}");
         assert!(wrong > 0);
         let first = &report.wrong_answers[0];
         assert!(
@@ -125,7 +125,7 @@
     let runs = runtime.block_on(async {
         let services = [server(Fault::None).await, server(Fault::None).await];
         let client = mangofront_http::client().unwrap();
-        counted::read(&client, &services).await.unwrap()
+        executions::fetch(&client, &services).await.unwrap()
     });
     assert_eq!(runs["k"], 6);
 }
--- a/crates/load/tests/prompts.rs
+++ b/crates/load/tests/prompts.rs
@@ -2,7 +2,7 @@
 
 use mangofront_load::scenario::Endpoint;
 use mangofront_load::schedule::{History, ModelWork};
-use mangofront_load::text::Slab;
+use mangofront_load::text::TextPool;
 use mangofront_prompt::{BLOCK_TOKENS, Prompt, parse};
 
 fn work(endpoint: Endpoint, length_tokens: u64, shared_tokens: u64) -> ModelWork {
@@ -19,38 +19,38 @@
     }
 }
 
-fn prompt(slab: &Slab, work: &ModelWork, seed: u64) -> Prompt {
+fn prompt(text_pool: &TextPool, work: &ModelWork, seed: u64) -> Prompt {
     let endpoint = match work.endpoint {
         Endpoint::Completions => mangofront_prompt::Endpoint::Completions,
         Endpoint::ChatCompletions => mangofront_prompt::Endpoint::ChatCompletions,
     };
-    parse(endpoint, &slab.body(work, seed)).expect("the tool writes sound bodies")
+    parse(endpoint, &text_pool.body(work, seed)).expect("the tool writes sound bodies")
 }
 
 #[test]
 fn lengths_are_as_asked() {
-    let slab = Slab::new(0);
+    let text_pool = TextPool::new(0);
     for length_tokens in [1, 4, 200, 1_000, 250_000, 1_000_000] {
         let completion = work(Endpoint::Completions, length_tokens, length_tokens / 2);
-        let read = prompt(&slab, &completion, 5);
+        let read = prompt(&text_pool, &completion, 5);
         assert_eq!(read.length_tokens, length_tokens);
         assert_eq!((read.max_tokens, read.stream), (9, true));
         let chat = work(Endpoint::ChatCompletions, length_tokens, 0);
         // Role and separators are part of the text.
-        assert!(prompt(&slab, &chat, 5).length_tokens - length_tokens <= 4);
+        assert!(prompt(&text_pool, &chat, 5).length_tokens - length_tokens <= 4);
     }
 }
 
 #[test]
 fn histories_are_shared_and_the_rest_is_not() {
-    let slab = Slab::new(0);
+    let text_pool = TextPool::new(0);
     let work = work(Endpoint::Completions, 4_000, 3_000);
-    let (one, other) = (prompt(&slab, &work, 1), prompt(&slab, &work, 2));
+    let (one, other) = (prompt(&text_pool, &work, 1), prompt(&text_pool, &work, 2));
     let shared = 3_000 / BLOCK_TOKENS;
     assert_eq!(one.blocks[..shared], other.blocks[..shared]);
     assert_ne!(one.blocks[shared + 1], other.blocks[shared + 1]);
     assert_ne!(one.digest, other.digest);
-    assert_eq!(one, prompt(&Slab::new(0), &work, 1));
-    let salted = prompt(&Slab::new(9), &work, 1);
+    assert_eq!(one, prompt(&TextPool::new(0), &work, 1));
+    let salted = prompt(&TextPool::new(9), &work, 1);
     assert_ne!(one.blocks[0], salted.blocks[0]);
 }
--- a/crates/load/tests/report.rs
+++ b/crates/load/tests/report.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 use mangofront_http::Outcome;
-use mangofront_load::counted::{CountedServices, RunsByKey, judge};
-use mangofront_load::figures::{FigureError, differences, idle_ratio, slowdown};
-use mangofront_load::generator::Record;
+use mangofront_load::compare::{CompareError, differences, idle_ratio, slowdown};
+use mangofront_load::executions::{ExecutionCheck, ExecutionsByKey, check};
+use mangofront_load::generator::RunRecord;
 use mangofront_load::idle::{IdleLength, IdleReport};
-use mangofront_load::report::{LengthBucket, Report, RunFacts, build, table, write_chart};
-use mangofront_load::requests::Requests;
+use mangofront_load::report::{LengthBucket, Report, RunMetadata, build, table, write_chart};
+use mangofront_load::requests::RequestFactory;
 use mangofront_load::sample::{End, Sample, SampleKind};
 use mangofront_load::scenario::Scenario;
 use mangofront_load::schedule::Plan;
@@ -143,9 +143,9 @@
 
 fn report(first_token_factor: u64, without_long: bool) -> Report {
     let scenario = Scenario::load("demo").unwrap();
-    let record = Record {
+    let record = RunRecord {
         samples: samples(first_token_factor),
-        gaps: (1..=1_000)
+        inter_token_times: (1..=1_000)
             .map(|number| Duration::from_micros(number * 50))
             .collect(),
         in_flight_max: 12,
@@ -153,9 +153,9 @@
     };
     let plan = Plan::new(16.0, Duration::from_secs(12)).without_long(without_long);
     let targets = vec![SocketAddr::from(([127, 0, 0, 1], 1)); 2];
-    let requests = Requests::builder(&scenario, targets).build();
-    let facts = RunFacts::new(&scenario, plan, &requests);
-    build(&facts, &scenario.configuration, &record)
+    let requests = RequestFactory::builder(&scenario, targets).build();
+    let metadata = RunMetadata::new(&scenario, plan, &requests);
+    build(&metadata, &scenario.configuration, &record)
 }
 
 fn idle() -> IdleReport {
@@ -212,17 +212,17 @@
 #[test]
 fn counts_of_the_services_show_what_answers_hid() {
     let mut samples = samples(1);
-    let runs = |runs: &[(&str, u64)]| -> RunsByKey {
+    let runs = |runs: &[(&str, u64)]| -> ExecutionsByKey {
         runs.iter()
             .map(|(key, runs)| ((*key).to_owned(), *runs))
             .collect()
     };
     // k1 was done, k2 refused, k3 is unknown: it may have run or not.
-    let right = judge(&samples, &runs(&[("k1", 1), ("k3", 1)]));
-    assert!(right.is_right());
-    assert_eq!(right, judge(&samples, &runs(&[("k1", 1)])));
-    let wrong = judge(&samples, &runs(&[("k2", 1), ("k3", 2), ("other", 5)]));
-    let expected = CountedServices {
+    let right = check(&samples, &runs(&[("k1", 1), ("k3", 1)]));
+    assert!(right.is_consistent());
+    assert_eq!(right, check(&samples, &runs(&[("k1", 1)])));
+    let wrong = check(&samples, &runs(&[("k2", 1), ("k3", 2), ("other", 5)]));
+    let expected = ExecutionCheck {
         keys: 3,
         ran_more_than_once: 1,
         ran_though_not_run: 1,
@@ -238,20 +238,20 @@
         0,
         End::Done,
     ));
-    assert!(judge(&samples, &runs(&[("k1", 1), ("k2", 1)])).is_right());
+    assert!(check(&samples, &runs(&[("k1", 1), ("k2", 1)])).is_consistent());
 }
 
 #[test]
 fn slowdown_divides_short_p95_of_a_pair() {
     let with = report(3, false);
     let without = report(1, true);
-    let figure = slowdown(&with, &without).unwrap();
-    assert!((figure - 3.0).abs() < 0.01, "{figure}");
-    assert_eq!(slowdown(&without, &with), Ok(figure));
-    assert_eq!(slowdown(&with, &with), Err(FigureError::NotAPair));
+    let ratio = slowdown(&with, &without).unwrap();
+    assert!((ratio - 3.0).abs() < 0.01, "{ratio}");
+    assert_eq!(slowdown(&without, &with), Ok(ratio));
+    assert_eq!(slowdown(&with, &with), Err(CompareError::NotAPair));
     let mut other = without;
     other.run.seed = 2;
-    assert_eq!(slowdown(&with, &other), Err(FigureError::OtherRun("seed")));
+    assert_eq!(slowdown(&with, &other), Err(CompareError::OtherRun("seed")));
 }
 
 #[test]
--- a/crates/load/tests/support/mod.rs
+++ b/crates/load/tests/support/mod.rs
@@ -26,7 +26,7 @@
     SwapTwoTokens,
     DropLastToken,
     RepeatToken,
-    NoEndMark,
+    MissingDoneMarker,
     ErrorInStream,
     NotRunInStream,
     EventAfterError,
@@ -170,7 +170,7 @@
     }
     let last = json!({ "choices": [{ "delta": {}, "finish_reason": expected.finish_reason() }] });
     events.push(format!("data: {last}\n\n"));
-    if fault != Fault::NoEndMark {
+    if fault != Fault::MissingDoneMarker {
         events.push("data: [DONE]\n\n".to_owned());
     }
     events
--- a/crates/load/tests/times.rs
+++ b/crates/load/tests/times.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use mangofront_load::times::Times;
+use mangofront_load::times::LatencyHistogram;
 
 #[test]
 fn both_histograms_count_and_tell_close_times_apart() {
-    for mut times in [Times::new(), Times::fine()] {
+    for mut times in [LatencyHistogram::new(), LatencyHistogram::high_resolution()] {
         times.add(Duration::from_micros(1_000));
         times.add(Duration::from_micros(1_010));
         let quantiles = times.quantiles();
--- a/crates/load/tests/verify.rs
+++ b/crates/load/tests/verify.rs
@@ -1,6 +1,6 @@
 //! The check of answers.
 
-use mangofront_load::verify::{Check, Expected, WrongAnswer};
+use mangofront_load::verify::{AnswerChecker, Expected, WrongAnswer};
 use quickcheck::quickcheck;
 
 const ANSWER: [&str; 4] = [" one", " two", " dva", " tri"];
@@ -13,7 +13,7 @@
 };
 
 fn check(pieces: &[&str]) -> Result<(), WrongAnswer> {
-    let mut check = Check::new(EXPECTED);
+    let mut check = AnswerChecker::new(EXPECTED);
     for piece in pieces {
         check.text(piece)?;
     }
@@ -38,9 +38,9 @@
         check(&[" one", " two", " dva", " tri", " tri"]),
         check(&["one"]),
         check(&[]),
-        Check::new(EXPECTED).offset(2),
-        Check::new(EXPECTED).finish_reason("stop"),
-        Check::new(Expected {
+        AnswerChecker::new(EXPECTED).offset(2),
+        AnswerChecker::new(EXPECTED).finish_reason("stop"),
+        AnswerChecker::new(Expected {
             length_tokens: 0,
             ..EXPECTED
         })
