--- a/crates/load/src/answers.rs
+++ b/crates/load/src/answers.rs
@@ -1,16 +1,17 @@
-//! The answers that prompts must get.
+//! Expected answers to prompts.
 
 use mangofront_standin::answer;
 
 use crate::scenario::Endpoint;
 use crate::verify::{Expected, TokenText};
 
-/// Rule by which an engine answers.
+/// Deterministic rule that defines an engine's answers.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerRule {
-    /// Text of a token, of the prompt's digest and the token's offset.
+    /// Returns the text of a token from the prompt's digest and the token's offset.
     pub token_text: TokenText,
-    /// Length of an answer in tokens, of the digest and the request's limit.
+    /// Returns the length of an answer in tokens from the digest and the request's
+    /// limit.
     pub length_tokens: fn(u64, u32) -> u32,
 }
 
@@ -24,15 +25,15 @@
         }
     }
 
-    /// Answer to the request of `body`.
+    /// Returns the expected answer to a request with this `body`.
     #[must_use]
     pub fn expected(&self, endpoint: Endpoint, body: &[u8]) -> Expected {
         let endpoint = match endpoint {
             Endpoint::Completions => mangofront_prompt::Endpoint::Completions,
             Endpoint::ChatCompletions => mangofront_prompt::Endpoint::ChatCompletions,
         };
-        // The tool wrote the body itself. One that can't be read is refused by
-        // the daemon too, and then no answer is compared.
+        // The tool generated the body itself. The daemon also refuses a body that
+        // can't be parsed, and then no answer is compared.
         let (digest, max_tokens) = mangofront_prompt::parse(endpoint, body)
             .map_or((0, 0), |prompt| (prompt.digest, prompt.max_tokens));
         Expected {
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -1,4 +1,5 @@
-//! The two single figures, and what differs between two reports.
+//! Comparison of reports: slowdown of short prompts, ratio to an idle engine, and
+//! all numbers that differ.
 
 use std::collections::BTreeMap;
 
@@ -9,21 +10,21 @@
 use crate::idle::IdleReport;
 use crate::report::{LengthBucket, Report};
 
-/// Figure that two documents don't give.
+/// Reports that can't be compared.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CompareError {
-    /// Not one report with long prompts and one without.
+    /// The pair is not one report with long prompts and one without.
     #[error("one of the two reports must be of a run --without-long, the other not")]
     NotAPair,
-    /// Runs of other schedules.
+    /// The runs have different schedules.
     #[error("the runs differ in {0}")]
     OtherRun(&'static str),
-    /// No first token in a group.
+    /// A group has no time to first token.
     #[error("no first token among {0}")]
     NoSamples(&'static str),
 }
 
-/// Slowdown of the short prompts: their time to first token at p95 in the run
+/// Returns the slowdown of the short prompts: their time to first token at p95 in the run
 /// with long prompts, divided by that of the run without.
 ///
 /// # Errors
@@ -64,18 +65,18 @@
     }
 }
 
-/// Times to first token against those of an idle engine.
+/// Ratios of times to first token to those of an idle engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct IdleRatio {
-    /// Geometric mean of the ratios.
+    /// Geometric mean of the ratios over all buckets.
     pub geometric_mean: f64,
-    /// Ratio of each bucket at p95.
+    /// Ratio of the 95th percentiles in each bucket.
     pub by_length: BTreeMap<LengthBucket, f64>,
-    /// Buckets without a first token in one of the two.
+    /// Buckets without a first token in the run or the idle measurement.
     pub left_out: Vec<LengthBucket>,
 }
 
-/// Compares a run with an idle engine.
+/// Compares the times to first token of a run with those of an idle engine.
 ///
 /// # Errors
 /// [`CompareError`] when no bucket has first tokens in both.
@@ -106,10 +107,10 @@
     })
 }
 
-/// A number that stands in two reports.
+/// A numeric field that differs between two reports.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Difference {
-    /// Path of the field, joined by dots.
+    /// Path of the field, separated by dots.
     pub field: String,
     /// Value in the first report.
     pub before: f64,
@@ -117,7 +118,8 @@
     pub after: f64,
 }
 
-/// Every number that differs between two reports, in the order of their paths.
+/// Returns every number that differs between two reports, ordered by path; a
+/// missing number counts as 0.
 #[must_use]
 pub fn differences(before: &Value, after: &Value) -> Vec<Difference> {
     let mut fields = BTreeMap::new();
--- a/crates/load/src/exchange.rs
+++ b/crates/load/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer, timed and checked.
+//! Sends one request, then times and checks its answer.
 
 use std::time::{Duration, Instant};
 
@@ -14,61 +14,61 @@
 /// Data of the event that ends a stream.
 const DONE_MARKER: &str = "[DONE]";
 
-/// Code of a connection that broke or was not made.
+/// Error code of a connection that failed or could not be established.
 const CONNECTION_CODE: &str = "connection";
 
-/// Code of an answer that was not whole within the tool's time limit.
+/// Error code of an answer that was not complete within the tool's time limit.
 const CLIENT_TIMEOUT_CODE: &str = "client_timeout";
 
-/// Code of an error answer without a typed body.
+/// Error code of an error answer whose body is not an [`ErrorBody`].
 const UNTYPED_CODE: &str = "untyped";
 
-/// A request to send.
+/// A request to send and how to check its answer.
 #[derive(Debug, Clone)]
 pub struct Outgoing {
-    /// Whole URL.
+    /// Complete URL.
     pub url: String,
     /// Names and values of the headers.
     pub headers: Vec<(&'static str, String)>,
     /// Body.
     pub body: Bytes,
-    /// What the answer is checked against.
+    /// Expected answer.
     pub answer: Answer,
-    /// Time after which the tool gives up.
+    /// Time after which the tool stops waiting for the answer.
     pub time_limit: Duration,
 }
 
-/// Form of the answer that is expected.
+/// Expected format and content of an answer.
 #[derive(Debug, Clone, Copy)]
 pub enum Answer {
-    /// Stream of events, as callers of a daemon or an engine get it.
+    /// Server-sent events, as a daemon or an engine streams them.
     Stream(Expected),
-    /// One JSON object with the whole text.
+    /// One JSON object with the complete text.
     Json(Expected),
     /// The answer of a service.
     Service,
 }
 
-/// What a request came to.
+/// Result of one request.
 #[derive(Debug)]
 pub struct ExchangeResult {
-    /// Id that the daemon gave.
+    /// Request id that the daemon assigned.
     pub request_id: Option<String>,
     /// Time from sending to the first token.
     pub first_token: Option<Duration>,
-    /// Time from sending to the end.
+    /// Time from sending to the end of the exchange.
     pub total: Duration,
     /// Times between tokens of a stream.
     pub inter_token_times: Vec<Duration>,
     /// Tokens received.
     pub tokens: u32,
-    /// How often the key of a service call ran, by the answer.
+    /// Number of executions of the service call's key, as its answer reports.
     pub executions: Option<u64>,
     /// How it ended.
     pub end: End,
 }
 
-/// Sends `outgoing` and reads its answer whole, within its time limit.
+/// Sends `outgoing` and reads its complete answer within its time limit.
 pub async fn exchange(client: &Client, outgoing: Outgoing) -> ExchangeResult {
     let mut reader = ResponseReader::new(outgoing.answer);
     let time_limit = outgoing.time_limit;
@@ -85,7 +85,7 @@
     reader.finish(end)
 }
 
-/// An answer while it is read.
+/// State of one answer while it is read.
 struct ResponseReader {
     sent_at: Instant,
     answer: Answer,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// End of a stream whose last event is an error.
+    /// Classifies a stream that ended with an error event.
     fn error_event_end(&self, error: ErrorDetail) -> End {
         match error.outcome {
             Outcome::NotRun if self.first_token.is_some() => {
--- a/crates/load/src/executions.rs
+++ b/crates/load/src/executions.rs
@@ -1,8 +1,10 @@
-//! What the emulated services counted, against what callers were told.
+//! Compares the executions that emulated services counted with the answers that
+//! callers got.
 //!
-//! An answer can only tell of the runs before it. The services count every run
-//! of every key, so their counts at the end show a double that no answer told
-//! of, and a run of what was said not to have run.
+//! An answer covers only the executions before it. The services count every
+//! execution of every idempotency key, so their final counts also reveal
+//! duplicates that no answer reported, and executions of calls that were
+//! answered with *not run*.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,48 +15,48 @@
 
 use crate::sample::{End, Sample, SampleKind};
 
-/// Runs of each idempotency key.
+/// Number of executions of each idempotency key.
 pub type ExecutionsByKey = BTreeMap<String, u64>;
 
-/// Verdict on the keys of a run.
+/// Consistency of executions and answers in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ExecutionCheck {
     /// Distinct keys sent.
     pub keys: u64,
-    /// Keys that ran more than once.
+    /// Keys that were executed more than once.
     pub ran_more_than_once: u64,
-    /// Keys that ran though every call was answered with *not run*.
+    /// Keys that were executed although every call was answered with *not run*.
     pub ran_though_not_run: u64,
-    /// Keys that did not run though a call was answered as done.
+    /// Keys that were never executed although a call was answered as done.
     pub not_run_though_done: u64,
 }
 
 impl ExecutionCheck {
-    /// Whether every key ran as its callers were told.
+    /// Returns whether the executions of every key match the answers to its callers.
     #[must_use]
     pub const fn is_consistent(&self) -> bool {
         self.ran_more_than_once + self.ran_though_not_run + self.not_run_though_done == 0
     }
 }
 
-/// Service whose counts were not read.
+/// Failure to fetch the execution counts of a service.
 #[derive(Debug, Error)]
 #[error("counts of service {address}: {problem}")]
 pub struct FetchCountersError {
     /// Address of the service.
     pub address: SocketAddr,
-    /// What went wrong.
+    /// Cause of the failure.
     #[source]
     pub problem: FetchCountersCause,
 }
 
-/// Why a service's counts were not read.
+/// Cause of a failure to fetch a service's execution counts.
 #[derive(Debug, Error)]
 pub enum FetchCountersCause {
-    /// No whole answer.
+    /// The request failed or its answer is incomplete.
     #[error(transparent)]
     Http(#[from] cyper::Error),
-    /// Answer of another shape.
+    /// The answer does not match the expected JSON schema.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
 }
@@ -64,10 +66,11 @@
     by_key: ExecutionsByKey,
 }
 
-/// Reads the counts of all `services` and adds them up.
+/// Fetches the execution counts of all `services` and sums them by key.
 ///
 /// # Errors
-/// [`FetchCountersError`] when one of them does not answer: its runs would be missing.
+/// [`FetchCountersError`] when one of them does not answer, as the sum would lack its
+/// executions.
 pub async fn fetch(
     client: &Client,
     services: &[SocketAddr],
@@ -90,13 +93,13 @@
     Ok(serde_json::from_slice(&body)?)
 }
 
-/// What the callers of one key were told.
+/// Outcomes that the callers of one key were given.
 struct ReportedOutcome {
     done: bool,
     all_not_run: bool,
 }
 
-/// Judges the service calls among `samples` by the runs counted.
+/// Checks the service calls among `samples` against the counted executions.
 #[must_use]
 pub fn check(samples: &[Sample], runs: &ExecutionsByKey) -> ExecutionCheck {
     let reported = reported_by_key(samples);
@@ -119,7 +122,7 @@
         let SampleKind::Service { key, .. } = &sample.kind else {
             continue;
         };
-        // A request that the generator did not send can't have run either.
+        // A request that the generator did not send can't have been executed either.
         let not_run = matches!(
             sample.end,
             End::Refused { .. } | End::GeneratorFailure { .. }
--- a/crates/load/src/generator.rs
+++ b/crates/load/src/generator.rs
@@ -1,10 +1,10 @@
-//! Open-loop sending of a schedule.
+//! Open-loop load generation from a schedule.
 //!
-//! One task sends at the scheduled instants, one task for each request reads
-//! its answer; a slow answer delays nothing but itself. What can't be sent
-//! because too many requests are under way counts as the generator's failure,
-//! never as the daemon's. The body of the next arrival is made before its
-//! instant comes, so that making it does not show in its times.
+//! One task starts requests at the scheduled times, and a task for each request
+//! reads its answer, so a slow answer delays no other request. A request that
+//! can't be sent because too many are in flight counts as a failure of the
+//! generator, never of the daemon. The body of the next arrival is built before
+//! it is due, so that building it does not add to its measured times.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,17 +18,17 @@
 use crate::schedule::{Arrival, Work};
 use crate::times::LatencyHistogram;
 
-/// Pause between looks at the number of requests under way.
+/// Interval at which the number of requests in flight is polled at the end.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a run gave.
+/// Raw measurements of a run.
 #[derive(Debug)]
 pub struct RunRecord {
-    /// One for each request.
+    /// One sample for each request.
     pub samples: Vec<Sample>,
-    /// Times between the tokens of one stream, of all streams.
+    /// Times between consecutive tokens, over all streams.
     pub inter_token_times: LatencyHistogram,
-    /// Most requests under way at once.
+    /// Maximum number of requests in flight.
     pub in_flight_max: usize,
     /// Time from the start to the last answer.
     pub elapsed: Duration,
@@ -45,7 +45,7 @@
     }
 }
 
-/// State that the tasks of a run share.
+/// State shared by the tasks of a run.
 struct Run {
     client: Client,
     requests: RequestFactory,
@@ -53,7 +53,7 @@
     in_flight: Cell<usize>,
 }
 
-/// Sends `arrivals` with at most `concurrency_cap` requests under way.
+/// Sends `arrivals` with at most `concurrency_cap` requests in flight.
 pub async fn generate(
     client: Client,
     requests: RequestFactory,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Counts one request under way while it lives.
+/// Guard that counts one request in flight until it is dropped.
 struct InFlight(Rc<Run>);
 
 impl InFlight {
--- a/crates/load/src/idle.rs
+++ b/crates/load/src/idle.rs
@@ -1,8 +1,8 @@
 //! Times to first token of an idle engine, by prompt length.
 //!
 //! Prompts are sent one at a time straight to an engine, drawn from the same
-//! length ranges as the scenario's, without shared beginnings. They are the
-//! measure against which a loaded fleet is judged.
+//! length ranges as the scenario's, without shared prefixes. The results are the
+//! baseline for the times of a loaded fleet.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -18,16 +18,16 @@
 use crate::schedule::{ModelWork, Plan, Schedule, Work};
 use crate::times::{LatencyHistogram, Quantiles};
 
-/// Most arrivals drawn to find prompts of the rare lengths.
+/// Maximum number of arrivals generated to find prompts of the rare lengths.
 const DRAWN_ARRIVALS_CAP: usize = 200_000;
 
-/// Answer limit of the probes, in tokens: only the first one counts.
+/// Answer limit of the probes, in tokens; only the first token is measured.
 const MAX_TOKENS: u32 = 4;
 
-/// Prompts of each length bucket.
+/// Default number of prompts in each length bucket.
 const DEFAULT_PER_BUCKET: usize = 20;
 
-/// Longest time spent on one bucket.
+/// Default maximum time spent on one bucket.
 const DEFAULT_BUCKET_LIMIT: Duration = Duration::from_secs(60);
 
 /// How to measure an idle engine.
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Prompts of each length bucket; 20 by default.
+    /// Number of prompts in each length bucket; 20 by default.
     #[must_use]
     pub const fn per_bucket(mut self, per_bucket: usize) -> Self {
         self.per_bucket = per_bucket;
         self
     }
 
-    /// Longest time spent on one bucket; 1 min by default.
+    /// Maximum time spent on one bucket; 1 min by default.
     #[must_use]
     pub const fn bucket_limit(mut self, bucket_limit: Duration) -> Self {
         self.bucket_limit = bucket_limit;
@@ -73,27 +73,27 @@
     }
 }
 
-/// Figures of an idle engine.
+/// Measurements of an idle engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct IdleReport {
-    /// Scenario that the lengths come from.
+    /// Scenario that defines the prompt lengths.
     pub scenario: String,
     /// Seed of the prompts.
     pub seed: u64,
-    /// Buckets that the scenario has.
+    /// Measurements for each length bucket in the scenario.
     pub by_length: BTreeMap<LengthBucket, IdleLength>,
 }
 
-/// Figures of one length bucket.
+/// Measurements of one length bucket.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct IdleLength {
     /// Time to first token.
     pub time_to_first_token: Quantiles,
-    /// Prompts that the engine refused: longer ones than its memory holds, say.
+    /// Prompts that the engine refused, for example because they exceed its memory.
     pub refused: u64,
-    /// Prompts that failed or were answered wrongly.
+    /// Prompts that failed or got a wrong answer.
     pub failed: u64,
-    /// First problem.
+    /// Description of the first refusal, failure or wrong answer.
     pub first_problem: Option<String>,
 }
 
@@ -115,7 +115,8 @@
     }
 }
 
-/// First prompts of each bucket in the scenario's schedule.
+/// Returns the first prompts of each bucket in the scenario's schedule, with
+/// their seeds.
 fn prompts(scenario: &Scenario, plan: IdlePlan) -> BTreeMap<LengthBucket, Vec<(u64, ModelWork)>> {
     let mut scenario = scenario.clone();
     scenario.request_cap = DRAWN_ARRIVALS_CAP;
--- a/crates/load/src/latency.rs
+++ b/crates/load/src/latency.rs
@@ -1,8 +1,9 @@
-//! Time that a daemon adds to short streamed requests.
+//! Latency that a daemon adds to short streamed requests.
 //!
-//! The same requests go through a daemon and straight to an engine in turn, in
-//! one run, so that a change of the machine's speed meets both alike. The order
-//! changes with each pair, so that neither side always finds the engine warm.
+//! One run sends the same requests alternately through a daemon and directly to
+//! an engine, so that changes in the machine's speed affect both paths equally.
+//! The order alternates from pair to pair, so that neither path always finds the
+//! engine warm.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,16 +17,17 @@
 use crate::sample::End;
 use crate::times::{LatencyHistogram, Quantiles};
 
-/// Distance between the seeds of two workers; far above any number of pairs.
+/// Difference between the seeds of two workers; far above any number of pairs.
 const WORKER_SEED_STRIDE: u64 = 1 << 32;
 
-/// Pairs of a comparison that sets none.
+/// Default number of pairs.
 const DEFAULT_PAIRS: u64 = 500;
 
-/// Pairs before the count begins: connections and caches settle.
+/// Default number of unmeasured pairs at the start, while connections and caches
+/// settle.
 const DEFAULT_WARM_UP_PAIRS: u64 = 20;
 
-/// How to compare.
+/// Parameters of a comparison.
 #[derive(Debug, Clone, Copy)]
 pub struct Comparison {
     daemon: Destination,
@@ -38,7 +40,7 @@
 }
 
 impl Comparison {
-    /// Sequential comparison of a daemon with an engine.
+    /// Creates a sequential comparison of a daemon with an engine.
     #[must_use]
     pub const fn new(daemon: Destination, engine: Destination) -> Self {
         Self {
@@ -52,21 +54,21 @@
         }
     }
 
-    /// Pairs of requests of each worker; 500 by default.
+    /// Number of measured pairs of requests for each worker; 500 by default.
     #[must_use]
     pub const fn pairs(mut self, pairs: u64) -> Self {
         self.pairs = pairs;
         self
     }
 
-    /// Pairs of each worker before the count begins; 20 by default.
+    /// Number of unmeasured pairs at the start of each worker; 20 by default.
     #[must_use]
     pub const fn warm_up_pairs(mut self, warm_up_pairs: u64) -> Self {
         self.warm_up_pairs = warm_up_pairs;
         self
     }
 
-    /// Workers at once; 1 by default, which is a sequential comparison.
+    /// Number of concurrent workers; 1 by default, which is a sequential comparison.
     #[must_use]
     pub const fn workers(mut self, workers: u64) -> Self {
         self.workers = workers;
@@ -91,22 +93,23 @@
 /// Result of one comparison.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LatencyReport {
-    /// Workers at once.
+    /// Number of concurrent workers.
     pub workers: u64,
-    /// Through the daemon.
+    /// Times through the daemon.
     pub daemon: PathReport,
-    /// Straight to the engine.
+    /// Times of direct requests to the engine.
     pub direct: PathReport,
-    /// First token: daemon's quantile less the direct one.
+    /// Time to first token: quantiles through the daemon minus direct quantiles.
     pub added_first_token: Added,
-    /// End of the answer: daemon's quantile less the direct one.
+    /// Time to the end of the answer: quantiles through the daemon minus direct
+    /// quantiles.
     pub added_total: Added,
-    /// Median over the pairs of the daemon's first token less the direct one,
-    /// in milliseconds.
+    /// Median over the pairs of the time to first token through the daemon minus
+    /// the direct one, in milliseconds.
     pub added_first_token_paired_p50_ms: f64,
 }
 
-/// Times of one path.
+/// Measurements of one path.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PathReport {
     /// Time to first token.
@@ -115,9 +118,9 @@
     pub total: Quantiles,
     /// Requests refused or failed.
     pub errors: u64,
-    /// Wrong answers.
+    /// Number of wrong answers.
     pub wrong_answers: u64,
-    /// First error or wrong answer.
+    /// Description of the first error or wrong answer.
     pub first_problem: Option<String>,
 }
 
@@ -156,11 +159,11 @@
 struct State {
     daemon: Path,
     engine: Path,
-    /// Differences of pairs, in milliseconds.
+    /// Differences in time to first token within the pairs, in milliseconds.
     paired_ms: Vec<f64>,
 }
 
-/// Runs `comparison`.
+/// Runs `comparison` and reports both paths.
 pub async fn compare(client: &Client, prober: &Prober, comparison: Comparison) -> LatencyReport {
     let state = Rc::new(RefCell::new(State::default()));
     let workers = (0..comparison.workers)
@@ -205,7 +208,7 @@
     let work = prober.work(comparison.prompt_size);
     let daemon = exchange(client, prober.outgoing(comparison.daemon, &work, seed));
     let engine = exchange(client, prober.outgoing(comparison.engine, &work, seed));
-    // The futures are lazy: each request leaves when it is awaited.
+    // The futures are lazy: each request is sent when its future is first polled.
     if seed.is_multiple_of(2) {
         let daemon = daemon.await;
         [daemon, engine.await]
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,11 +1,11 @@
 //! Load generator, scenarios and reports.
 //!
-//! Owns the tool that drives daemons (and emulated engines) with a drawn
-//! schedule of requests, checks every answer whole and reports what callers
-//! saw. [`cli::main`] is the `mangofront load` subcommand. It meets the others
-//! only over HTTP, as a caller does; the scenarios carry the published
-//! configuration that they are to be run under, and the emulated engine's
-//! answers are known from `mangofront_standin::answer`.
+//! Sends a random schedule of requests to daemons (or emulated engines), checks
+//! every answer in full and reports what callers saw. [`cli::main`] is the
+//! `mangofront load` subcommand. The tool talks to the other processes only
+//! over HTTP, as a caller does. Each scenario contains the published
+//! configuration to run it under, and `mangofront_standin::answer` gives the
+//! emulated engine's expected answers.
 //!
 //! A run is [`scenario`] → [`schedule`] → [`generator`] (with [`requests`],
 //! [`exchange`] and [`verify`] for each request) → [`report`].
--- a/crates/load/src/probe.rs
+++ b/crates/load/src/probe.rs
@@ -1,4 +1,4 @@
-//! Single streamed requests to a daemon or straight to an engine.
+//! Single streamed requests to a daemon or directly to an engine.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,24 +13,24 @@
 use crate::schedule::ModelWork;
 use crate::text::{TextPool, fresh_salt};
 
-/// Time after which a probe is given up.
+/// Time limit of a probe.
 const TIME_LIMIT: Duration = Duration::from_secs(300);
 
-/// Priority of a probe at an engine.
+/// Priority header of a probe to an engine.
 const PRIORITY: &str = "0";
 
-/// Size of a short prompt and of its answer.
+/// Length of a probe's prompt and answer limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptSize {
-    /// Length of the prompt, in tokens; 200 by default: below one prefix block,
-    /// so that none is found cached.
+    /// Length of the prompt, in tokens; 200 by default, which is below one prefix
+    /// block, so that no part of it is cached.
     pub length_tokens: u64,
     /// Answer limit, in tokens; 16 by default.
     pub max_tokens: u32,
 }
 
 impl PromptSize {
-    /// The default, for constants.
+    /// Default size, as a constant.
     pub const SHORT: Self = Self {
         length_tokens: 200,
         max_tokens: 16,
@@ -43,33 +43,33 @@
     }
 }
 
-/// Who a probe is sent to.
+/// Recipient of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Destination {
-    /// A daemon, as its callers do.
+    /// A daemon, with the headers of a caller.
     Daemon(SocketAddr),
-    /// An engine, as a daemon does.
+    /// An engine, with the headers of a daemon.
     Engine(SocketAddr),
 }
 
-/// Makes probes in the name of one caller.
+/// Builds probes on behalf of one caller.
 #[derive(Debug, Clone)]
 pub struct Prober {
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelName,
-    /// Class sent in.
+    /// Class of the probes.
     pub class: ClassName,
-    /// Organisation that sends.
+    /// Organisation of the caller.
     pub organisation: OrganisationId,
-    /// Rule by which engines answer.
+    /// Rule that defines the engines' answers.
     pub rule: AnswerRule,
-    /// Text of the prompts.
+    /// Pool of the prompts' text.
     pub text_pool: Rc<TextPool>,
 }
 
 impl Prober {
-    /// Probes in the name of a scenario's largest organisation and first class
-    /// of prompts; `None` when the scenario has no prompts.
+    /// Creates a prober for a scenario's largest organisation and first class of
+    /// prompts; `None` when the scenario has no prompts.
     #[must_use]
     pub fn for_scenario(scenario: &Scenario, rule: AnswerRule) -> Option<Self> {
         let first = scenario.first_model()?;
@@ -82,7 +82,7 @@
         })
     }
 
-    /// Prompt of a size that shares nothing with others.
+    /// Returns a prompt of this size without a shared prefix.
     #[must_use]
     pub fn work(&self, size: PromptSize) -> ModelWork {
         ModelWork {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Request for `work`, whose text comes from `seed`.
+    /// Builds the request for `work`, whose text is determined by `seed`.
     #[must_use]
     pub fn outgoing(&self, to: Destination, work: &ModelWork, seed: u64) -> Outgoing {
         let body = self.text_pool.body(work, seed);
@@ -118,8 +118,8 @@
                 named_headers.push((headers::ORGANISATION, self.organisation.clone()));
             }
             Destination::Engine(_) => {
-                // An engine keeps a request's stream for a while: an id used
-                // before would name that one.
+                // An engine keeps the stream of a request for a while, so a reused
+                // id would refer to the earlier request.
                 named_headers.push((headers::REQUEST_ID, uuid::Uuid::now_v7().to_string()));
                 named_headers.push((headers::ATTEMPT, "1".to_owned()));
                 named_headers.push((headers::PRIORITY, PRIORITY.to_owned()));
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -8,46 +8,46 @@
 /// Id of a process.
 pub type Pid = u32;
 
-/// Ticks of `/proc/{pid}/stat` in a second: fixed by Linux for programs.
+/// Ticks per second in `/proc/{pid}/stat`; fixed by the Linux ABI.
 const TICKS_PER_S: u64 = 100;
 
-/// Index of the user time among the fields after the program's name.
+/// Index of the user time among the fields that follow the program's name in `/proc/{pid}/stat`.
 const USER_TICKS_FIELD: usize = 11;
 
-/// Usage of a process at one moment.
+/// Resource usage of a process at one point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time since the process began.
+    /// Processor time since the process started.
     pub processor_time: Duration,
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
-    /// Greatest resident memory so far, in bytes.
+    /// Peak resident memory so far, in bytes.
     pub resident_peak_bytes: u64,
 }
 
-/// Usage of a process over a time.
+/// Resource usage of a process over an interval.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Mean processor use, in cores.
+    /// Mean processor usage, in cores.
     pub cpu_cores: f64,
     /// Resident memory at the end, in bytes.
     pub resident_bytes: u64,
-    /// Greatest resident memory since the process began, in bytes.
+    /// Peak resident memory since the process started, in bytes.
     pub resident_peak_bytes: u64,
 }
 
-/// Process that could not be read.
+/// Failure to read the usage of a process.
 #[derive(Debug, Error)]
 pub enum UsageError {
-    /// No such process, or not ours to read.
+    /// The process does not exist or permission is denied.
     #[error("process {pid}: {source}")]
     Unreadable {
         /// Id of the process.
         pid: Pid,
-        /// Why it was not read.
+        /// Error of the read.
         source: std::io::Error,
     },
-    /// A field is missing.
+    /// A field of `/proc` is missing or malformed.
     #[error("process {pid}: no {field} in /proc")]
     Missing {
         /// Id of the process.
@@ -58,10 +58,10 @@
 }
 
 impl Usage {
-    /// Usage of `pid` now.
+    /// Reads the current usage of `pid`.
     ///
     /// # Errors
-    /// [`UsageError`] when the process is gone.
+    /// [`UsageError`] when the process does not exist or can't be read.
     pub fn read(pid: Pid) -> Result<Self, UsageError> {
         let stat = read(pid, "stat")?;
         let status = read(pid, "status")?;
@@ -77,7 +77,7 @@
         })
     }
 
-    /// Usage from `earlier` to now, over `elapsed`.
+    /// Returns the usage between `earlier` and `self`, which are `elapsed` apart.
     #[must_use]
     pub fn since(&self, earlier: &Self, elapsed: Duration) -> UsageReport {
         let used = self.processor_time.saturating_sub(earlier.processor_time);
@@ -96,7 +96,8 @@
 }
 
 fn processor_ticks(stat: &str) -> Option<u64> {
-    // The name may hold spaces and brackets; the fields begin after the last.
+    // The program's name may contain spaces and parentheses; the fields start
+    // after its last closing parenthesis.
     let (_, fields) = stat.rsplit_once(')')?;
     let mut fields = fields.split_ascii_whitespace().skip(USER_TICKS_FIELD);
     let user: u64 = fields.next()?.parse().ok()?;
--- a/crates/load/src/requests.rs
+++ b/crates/load/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests made of arrivals.
+//! Builds HTTP requests from scheduled arrivals.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -17,14 +17,14 @@
 use crate::text::{TextPool, TextSalt};
 use crate::times::scaled;
 
-/// Time over its class's limit after which the tool gives a request up. The
-/// daemon has to answer within the limit; the rest is for the way.
+/// Time that the tool waits beyond the limit of a request's class. The daemon
+/// must answer within the limit; the extra time allows for the network.
 const CLIENT_GRACE: Duration = Duration::from_secs(5);
 
-/// Limit of a request whose class is not configured.
+/// Time limit of a request whose class is not configured.
 const DEFAULT_LIMIT: Duration = Duration::from_secs(60);
 
-/// Makes requests for targets in turn.
+/// Builds requests for the targets in round-robin order.
 #[derive(Debug)]
 pub struct RequestFactory {
     targets: Vec<SocketAddr>,
@@ -36,7 +36,7 @@
     rule: AnswerRule,
 }
 
-/// Settings of [`RequestFactory`].
+/// Builder of [`RequestFactory`].
 #[derive(Debug)]
 pub struct RequestFactoryBuilder {
     targets: Vec<SocketAddr>,
@@ -47,28 +47,28 @@
 }
 
 impl RequestFactoryBuilder {
-    /// Factor on the durations of the scenario; 1 by default.
+    /// Factor applied to the durations of the scenario; 1 by default.
     #[must_use]
     pub const fn time_scale(mut self, time_scale: f64) -> Self {
         self.time_scale = time_scale;
         self
     }
 
-    /// Salt of the texts; 0 by default.
+    /// Salt of the prompt texts; 0 by default.
     #[must_use]
     pub const fn text_salt(mut self, text_salt: TextSalt) -> Self {
         self.text_salt = text_salt;
         self
     }
 
-    /// Rule by which engines answer; the emulated engine's by default.
+    /// Rule that defines the engines' answers; the emulated engine's by default.
     #[must_use]
     pub const fn rule(mut self, rule: AnswerRule) -> Self {
         self.rule = rule;
         self
     }
 
-    /// The requests; keys count as minted from now on.
+    /// Builds the factory; the timestamps of idempotency keys start from now.
     #[must_use]
     pub fn build(self) -> RequestFactory {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
@@ -77,7 +77,7 @@
             next_target_index: Cell::new(0),
             classes: self.classes,
             time_scale: self.time_scale,
-            // A clock before 1970 only makes keys look old.
+            // A clock before 1970 only gives keys old timestamps.
             started_at: now.unwrap_or_default(),
             text_pool: TextPool::new(self.text_salt),
             rule: self.rule,
@@ -86,7 +86,7 @@
 }
 
 impl RequestFactory {
-    /// Requests of `scenario` for `targets`, of which there must be one.
+    /// Starts a factory for `scenario` and `targets`, which must not be empty.
     #[must_use]
     pub fn builder(scenario: &Scenario, targets: Vec<SocketAddr>) -> RequestFactoryBuilder {
         RequestFactoryBuilder {
@@ -98,25 +98,25 @@
         }
     }
 
-    /// Number of target addresses.
+    /// Returns the number of target addresses.
     #[must_use]
     pub fn targets(&self) -> usize {
         self.targets.len()
     }
 
-    /// Factor on the durations of the scenario.
+    /// Returns the factor applied to the durations of the scenario.
     #[must_use]
     pub fn time_scale(&self) -> f64 {
         self.time_scale
     }
 
-    /// Salt of the texts.
+    /// Returns the salt of the prompt texts.
     #[must_use]
     pub fn text_salt(&self) -> TextSalt {
         self.text_pool.salt()
     }
 
-    /// Request of `arrival` for the next target.
+    /// Builds the request of `arrival` for the next target.
     #[must_use]
     pub fn outgoing(&self, arrival: &Arrival) -> Outgoing {
         match &arrival.work {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The same service call with the same key for the next target.
+    /// Builds the same service call with the same key for the next target.
     #[must_use]
     pub fn repeat(&self, arrival: &Arrival, first: &Outgoing) -> Outgoing {
         match &arrival.work {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Idempotency key of a service call: a UUIDv7 of the time it is due.
+    /// Returns the idempotency key of a service call: a UUIDv7 with its due time.
     #[must_use]
     pub fn key(&self, arrival: &Arrival) -> String {
         let minted_at = self.started_at + arrival.at;
@@ -164,11 +164,11 @@
 
     fn service_request(&self, arrival: &Arrival, work: &ServiceWork) -> Outgoing {
         let target = self.next_target();
-        let mut headers_of_call = class_headers(arrival);
-        headers_of_call.push((headers::IDEMPOTENCY_KEY, self.key(arrival)));
+        let mut call_headers = class_headers(arrival);
+        call_headers.push((headers::IDEMPOTENCY_KEY, self.key(arrival)));
         Outgoing {
             url: format!("http://{target}/v1/services/{}/{}", work.service, work.path),
-            headers: headers_of_call,
+            headers: call_headers,
             body: Bytes::from_static(b"{}"),
             answer: Answer::Service,
             time_limit: self.time_limit(&arrival.class),
--- a/crates/load/src/sample.rs
+++ b/crates/load/src/sample.rs
@@ -1,4 +1,4 @@
-//! What one request of a run came to.
+//! Measurements and outcome of one request.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 /// Measurements of one request.
 #[derive(Debug, Clone)]
 pub struct Sample {
-    /// Class it was sent in.
+    /// Class of the request.
     pub class: ClassName,
     /// Organisation that sent it.
     pub organisation: OrganisationId,
-    /// What was asked for.
+    /// Kind of the request.
     pub kind: SampleKind,
-    /// Time after the run's start at which it was due.
+    /// Due time, relative to the start of the run.
     pub due: Duration,
-    /// Time by which it was sent later than due.
+    /// Delay between the due time and sending.
     pub lateness: Duration,
-    /// Id that the daemon gave it.
+    /// Request id that the daemon assigned.
     pub request_id: Option<String>,
     /// Time from sending to the first token.
     pub first_token: Option<Duration>,
@@ -30,10 +30,10 @@
     pub end: End,
 }
 
-/// What a sample asked for.
+/// Kind of a sampled request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SampleKind {
-    /// Prompt of a length, in tokens.
+    /// Prompt for a model.
     Model {
         /// Length of the prompt, in tokens.
         length_tokens: u64,
@@ -44,7 +44,7 @@
         key: String,
         /// Whether it repeats the key of an earlier call.
         repeat: bool,
-        /// How often the key ran, by the answer.
+        /// Number of executions of the key, as the answer reports.
         executions: Option<u64>,
     },
 }
@@ -52,20 +52,20 @@
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// Whole and right answer.
+    /// Complete and correct answer.
     Done,
-    /// Typed refusal: the work was not run.
+    /// Typed refusal: the request was not run.
     Refused {
         /// Code of the error.
         code: String,
     },
-    /// Error answer or broken connection after the work may have started.
+    /// Error answer or connection failure after the request may have started to run.
     Failed {
-        /// Code of the error; `connection` and `client_timeout` are the tool's own.
+        /// Code of the error; the tool itself sets `connection`, `client_timeout` and `untyped`.
         code: String,
-        /// What is known of the work.
+        /// Whether the request ran, as far as is known.
         outcome: Outcome,
-        /// Step, peer and sentence of the error.
+        /// Step, peer and message of the error.
         message: String,
     },
     /// Answer that differs from the expected one.
@@ -75,7 +75,7 @@
     },
     /// The generator could not send it.
     GeneratorFailure {
-        /// Why not, in snake case.
+        /// Reason, in snake case.
         cause: &'static str,
     },
 }
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -1,9 +1,9 @@
-//! The arrivals of a run, drawn from a seed.
+//! Random schedule of a run's arrivals, determined by a seed.
 //!
-//! Arrivals are a Poisson process: the time between two is exponential and does
-//! not depend on the answers. Every arrival draws the same number of random
-//! values in the same order, so leaving out the long prompts changes nothing
-//! about the others.
+//! Arrivals are a Poisson process: the time between two is exponentially
+//! distributed and does not depend on the answers. Every arrival takes the same
+//! number of random values from the schedule's generator in the same order, so
+//! excluding the long prompts does not change the others.
 
 use std::time::Duration;
 
@@ -14,28 +14,28 @@
 
 use crate::scenario::{Endpoint, Kind, LONG_TOKENS, ModelKind, Scenario, ServiceKind};
 
-/// Share of a prompt that is taken from a history, when it has one.
+/// Fraction of a prompt that is copied from a history, when it has one.
 const SHARED_PREFIX_FRACTION: f64 = 0.8;
 
 /// One request of the schedule.
 #[derive(Debug, Clone, Serialize)]
 pub struct Arrival {
-    /// Position in the schedule, from 0; counts left-out prompts too.
+    /// Position in the schedule, from 0; excluded prompts are counted too.
     pub index: usize,
-    /// Time after the run's start at which it is due.
+    /// Due time, relative to the start of the run.
     #[serde(serialize_with = "as_us")]
     pub at: Duration,
     /// Organisation that sends it.
     pub organisation: OrganisationId,
-    /// Class it is sent in.
+    /// Class of the request.
     pub class: ClassName,
-    /// Seed of its text and key.
+    /// Seed of its text and idempotency key.
     pub seed: u64,
-    /// What is asked for.
+    /// Content of the request.
     pub work: Work,
 }
 
-/// What an arrival asks for.
+/// Content of a scheduled request.
 #[derive(Debug, Clone, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Work {
@@ -45,12 +45,12 @@
     Service(ServiceWork),
 }
 
-/// A prompt and how it is sent.
+/// Prompt for a model and its request parameters.
 #[derive(Debug, Clone, Serialize)]
 pub struct ModelWork {
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelName,
-    /// Path called.
+    /// Endpoint of the request.
     pub endpoint: Endpoint,
     /// Whether the answer is streamed.
     pub stream: bool,
@@ -58,16 +58,16 @@
     pub max_tokens: u32,
     /// Length of the prompt, in tokens.
     pub length_tokens: u64,
-    /// Shared beginning of the prompt.
+    /// Shared prefix of the prompt.
     pub history: Option<History>,
 }
 
-/// Beginning of a prompt that others of its organisation share.
+/// Prefix that a prompt shares with others of its organisation.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct History {
     /// Seed of the shared text.
     pub seed: u64,
-    /// Length of the shared part, in tokens.
+    /// Length of the shared prefix, in tokens.
     pub length_tokens: u64,
 }
 
@@ -78,11 +78,11 @@
     pub service: ServiceName,
     /// Path below the service.
     pub path: String,
-    /// Whether it is sent a second time with the same key.
+    /// Whether it is sent a second time with the same idempotency key.
     pub repeat: bool,
 }
 
-/// How to draw a schedule from a scenario.
+/// Parameters of a schedule.
 #[derive(Debug, Clone, Copy)]
 pub struct Plan {
     pub(crate) seed: u64,
@@ -92,7 +92,7 @@
 }
 
 impl Plan {
-    /// Arrivals during `duration`, `rate_per_s` a second in the mean.
+    /// Plans arrivals for `duration` at a mean rate of `rate_per_s` per second.
     #[must_use]
     pub const fn new(rate_per_s: f64, duration: Duration) -> Self {
         Self {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Seed of all draws; 1 by default.
+    /// Seed of all random values; 1 by default.
     #[must_use]
     pub const fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
@@ -117,7 +117,7 @@
         self
     }
 
-    /// Whether prompts over [`LONG_TOKENS`] are left out; not so by default.
+    /// Whether prompts over [`LONG_TOKENS`] are excluded; false by default.
     #[must_use]
     pub const fn without_long(mut self, without_long: bool) -> Self {
         self.without_long = without_long;
@@ -138,7 +138,7 @@
 }
 
 impl<'a> Schedule<'a> {
-    /// Schedule of `scenario` under `plan`.
+    /// Creates the schedule of `scenario` under `plan`.
     #[must_use]
     pub fn new(scenario: &'a Scenario, plan: Plan) -> Self {
         let ranks = 1..=scenario.organisations.len();
@@ -161,8 +161,8 @@
         self.next_at = self.next_at.saturating_add(gap);
         let index = self.next_index;
         self.next_index += 1;
-        // One generator for each arrival: what one kind draws can't shift the
-        // next arrival.
+        // Each arrival has its own generator, so the number of values that one
+        // kind uses does not affect the next arrival.
         let mut rng = StdRng::seed_from_u64(self.rng.random());
         let organisation = weighted_index(&mut rng, &self.organisation_weights);
         let kind = &self.scenario.mix[weighted_index(&mut rng, &self.kind_weights)];
@@ -247,7 +247,7 @@
 
 fn exponential(rng: &mut StdRng, rate_per_s: f64) -> Duration {
     let uniform: f64 = rng.random();
-    // A rate near 0 puts the next arrival beyond any run.
+    // At a rate near 0 the next arrival is after the end of any run.
     Duration::try_from_secs_f64(-(1.0 - uniform).ln() / rate_per_s).unwrap_or(Duration::MAX)
 }
 
@@ -258,7 +258,7 @@
     (drawn.round() as u64).clamp(from, to)
 }
 
-/// Index drawn with probabilities in the ratio of `weights`.
+/// Returns a random index with probabilities proportional to `weights`.
 fn weighted_index(rng: &mut StdRng, weights: &[f64]) -> usize {
     let total: f64 = weights.iter().sum();
     let mut remaining = rng.random::<f64>() * total;
--- a/crates/load/src/text.rs
+++ b/crates/load/src/text.rs
@@ -1,7 +1,7 @@
-//! Prompt texts, cut from one shared slab.
+//! Prompt texts, copied from one shared random text.
 //!
-//! A million tokens are four megabytes. All prompts are slices of one random
-//! text, so making one costs a copy into the body and nothing else.
+//! A prompt of a million tokens takes four megabytes. All prompts are slices of
+//! one pool of random text, so building one costs only a copy into the body.
 
 use std::time::SystemTime;
 
@@ -14,25 +14,26 @@
 use crate::scenario::Endpoint;
 use crate::schedule::ModelWork;
 
-/// Length of the slab, in bytes; a power of two above the longest prompt.
+/// Length of the text pool, in bytes; a power of two above the longest prompt.
 const POOL_BYTES: usize = 8 * 1024 * 1024;
 
-/// Seed of the slab: the same text in every run and process.
+/// Seed of the text pool; constant, so that every run and process has the same text.
 const POOL_SEED: u64 = 0x6d61_6e67_6f66_726f;
 
-/// Longest word of the slab, in bytes.
+/// Maximum length of a word in the pool, in bytes.
 const MAX_WORD_BYTES: usize = 9;
 
-/// Space in a body for all that is not text, in bytes.
+/// Capacity reserved in a body for everything but the prompt text, in bytes.
 const BODY_OVERHEAD_BYTES: usize = 256;
 
-/// Number mixed into every text's seed.
+/// Number mixed into the seed of every text.
 ///
-/// Engines keep the prefixes of earlier prompts. A salt of its own gives a run
-/// texts that no engine has seen, while its schedule stays that of the seed.
+/// Engines cache the prefixes of earlier prompts. With a salt of its own, a run
+/// sends texts that no engine has cached, while the seed alone determines its
+/// schedule.
 pub type TextSalt = u64;
 
-/// A salt that no earlier run had: the wall clock's microseconds.
+/// Returns a salt that no earlier run had: the wall clock in microseconds.
 #[must_use]
 pub fn fresh_salt() -> TextSalt {
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
@@ -40,7 +41,7 @@
     now.map_or(0, |now| u64::try_from(now.as_micros()).unwrap_or(u64::MAX))
 }
 
-/// Random text of lower-case words, without anything that JSON escapes.
+/// Pool of random lower-case words, without characters that JSON escapes.
 #[derive(Debug)]
 pub struct TextPool {
     text: String,
@@ -48,15 +49,15 @@
 }
 
 impl TextPool {
-    /// Makes the slab, some milliseconds of work.
+    /// Generates the pool, which takes some milliseconds.
     #[must_use]
     pub fn new(salt: TextSalt) -> Self {
         let mut rng = StdRng::seed_from_u64(POOL_SEED);
         let mut text = String::with_capacity(POOL_BYTES);
         let mut word_letters_left = 0;
         while text.len() < POOL_BYTES {
-            // Eight letters of each draw: a draw for each letter would make the
-            // start of the tool ten times slower.
+            // Each random number gives eight letters: one number per letter
+            // would make the start of the tool ten times slower.
             for byte in rng.random::<u64>().to_le_bytes() {
                 if word_letters_left == 0 {
                     word_letters_left = 1 + usize::from(byte) % MAX_WORD_BYTES;
@@ -75,14 +76,14 @@
         self.salt
     }
 
-    /// Appends `length_bytes` of the text that belongs to `seed`.
+    /// Appends the first `length_bytes` of the text for `seed`.
     fn push_text(&self, body: &mut String, seed: u64, length_bytes: usize) {
         let seed = seed ^ self.salt;
         let prefix = format!("{seed:016x} ");
         let prefix_bytes = prefix.len().min(length_bytes);
         body.push_str(&prefix[..prefix_bytes]);
         let mut remaining_bytes = length_bytes - prefix_bytes;
-        // Odd multiplier: distinct seeds get scattered starts.
+        // Multiplicative hash: distinct seeds get scattered start offsets.
         let mut start = (seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) as usize % POOL_BYTES;
         while remaining_bytes > 0 {
             let copied = remaining_bytes.min(POOL_BYTES - start);
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Body of the request for `work`; `seed` names the part that is its own.
+    /// Builds the body of the request for `work`; `seed` selects the text that follows
+    /// the shared prefix.
     #[must_use]
     pub fn body(&self, work: &ModelWork, seed: u64) -> Bytes {
         let length_bytes = work.length_tokens as usize * BYTES_PER_TOKEN;
--- a/crates/load/src/times.rs
+++ b/crates/load/src/times.rs
@@ -1,26 +1,27 @@
-//! Distribution of measured times.
+//! Histograms of measured times.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Longest time told apart, in microseconds: an hour.
+/// Maximum recorded time, in microseconds: one hour.
 const MAX_TIME_US: u64 = 3_600_000_000;
 
-/// Significant digits kept.
+/// Significant decimal digits of a recorded time.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Longest time that [`LatencyHistogram::high_resolution`] tells apart, in microseconds: a minute.
+/// Maximum time that [`LatencyHistogram::high_resolution`] records, in
+/// microseconds: one minute.
 const MAX_FINE_TIME_US: u64 = 60_000_000;
 
-/// Significant digits that [`LatencyHistogram::high_resolution`] keeps.
+/// Significant decimal digits of [`LatencyHistogram::high_resolution`].
 const FINE_SIGNIFICANT_DIGITS: u8 = 4;
 
-/// Longest duration that scaling gives: a day.
+/// Upper bound of scaled durations: one day.
 const MAX_SCALED: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// `time` by `factor`, at most a day.
+/// Multiplies `time` by `factor`, up to one day.
 #[must_use]
 pub fn scaled(time: Duration, factor: f64) -> Duration {
     let scaled = Duration::try_from_secs_f64(time.as_secs_f64() * factor);
@@ -29,9 +30,10 @@
 
 /// Histogram of times.
 ///
-/// Invariant: it is there. The library refuses bounds that contradict each
-/// other; those above do not, and a test holds them to it. Were it not there,
-/// no time would be counted, which the reports' counts show.
+/// Invariant: the inner histogram exists. The library rejects inconsistent
+/// bounds; those above are consistent, which a test checks. Without the
+/// histogram no time would be counted, and the counts in the reports would
+/// show it.
 #[derive(Debug, Clone)]
 pub struct LatencyHistogram(Option<Histogram<u64>>);
 
@@ -52,15 +54,16 @@
 }
 
 impl LatencyHistogram {
-    /// Histogram without a time.
+    /// Creates an empty histogram.
     #[must_use]
     pub fn new() -> Self {
         Self::bounded(MAX_TIME_US, SIGNIFICANT_DIGITS)
     }
 
-    /// Histogram for small differences of times up to a minute.
+    /// Creates an empty histogram of times up to one minute, precise enough for
+    /// small differences.
     ///
-    /// It takes more than a megabyte, so it is not the default.
+    /// It uses more than a megabyte, so it is not the default.
     #[must_use]
     pub fn high_resolution() -> Self {
         Self::bounded(MAX_FINE_TIME_US, FINE_SIGNIFICANT_DIGITS)
@@ -68,12 +71,12 @@
 
     fn bounded(longest_us: u64, digits: u8) -> Self {
         let histogram = Histogram::new_with_bounds(1, longest_us, digits);
-        let histogram = histogram.inspect_err(|error| log::error!("load: no histogram: {error}"));
+        let histogram =
+            histogram.inspect_err(|error| log::error!("load: cannot create histogram: {error}"));
         Self(histogram.ok())
     }
 
-    /// Adds one time; longer ones than the longest told apart count as
-    /// that.
+    /// Records one time; longer times count as the maximum.
     pub fn add(&mut self, time: Duration) {
         let time_us = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         if let Some(histogram) = &mut self.0 {
@@ -81,20 +84,20 @@
         }
     }
 
-    /// Number of times.
+    /// Returns the number of recorded times.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.as_ref().map_or(0, Histogram::len)
     }
 
-    /// Time that a share of all do not exceed, in milliseconds; 0 when empty.
+    /// Returns the quantile `share` (0 to 1) in milliseconds; 0 when empty.
     #[must_use]
     pub fn quantile_ms(&self, share: f64) -> f64 {
         let time_us = self.0.as_ref().map(|times| times.value_at_quantile(share));
         time_us.unwrap_or_default() as f64 / 1000.0
     }
 
-    /// The figures of a report.
+    /// Returns the summary for a report.
     #[must_use]
     pub fn quantiles(&self) -> Quantiles {
         Quantiles {
@@ -107,10 +110,10 @@
     }
 }
 
-/// Figures of a distribution of times.
+/// Summary of a distribution of times.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Number of times.
+    /// Number of recorded times.
     pub count: u64,
     /// Median, in milliseconds.
     pub p50_ms: f64,
@@ -118,6 +121,6 @@
     pub p95_ms: f64,
     /// 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// Greatest, in milliseconds.
+    /// Maximum, in milliseconds.
     pub max_ms: f64,
 }
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -1,29 +1,30 @@
-//! Check of an answer against the one that its prompt must give.
+//! Verification of an answer against the one expected for its prompt.
 //!
-//! The emulated engine answers from the prompt's digest alone, so a caller
-//! knows every token beforehand: a missing, repeated, swapped or foreign piece
-//! of text is seen at the first byte that differs.
+//! The emulated engine answers from the prompt's digest alone, so the
+//! tool knows every token in advance and detects missing, repeated, swapped or
+//! foreign text at the first byte that differs.
 
 use thiserror::Error;
 
-/// Text of the token at an offset of the answer to a digest.
+/// Returns the text of a token from the prompt's digest and the token's offset in
+/// the answer.
 pub type TokenText = fn(u64, u32) -> String;
 
-/// Answer that a prompt must give.
+/// Expected answer to a prompt.
 #[derive(Debug, Clone, Copy)]
 pub struct Expected {
     /// Digest of the prompt.
     pub digest: u64,
     /// Length of the answer, in tokens.
     pub length_tokens: u32,
-    /// Limit of the request, in tokens; a shorter answer stopped by itself.
+    /// Token limit of the request; a shorter answer has finish reason `stop`.
     pub limit_tokens: u32,
-    /// Text of each token.
+    /// Function that gives the text of each token.
     pub token_text: TokenText,
 }
 
 impl Expected {
-    /// Reason that the answer's end gives.
+    /// Returns the expected finish reason.
     #[must_use]
     pub const fn finish_reason(&self) -> &'static str {
         if self.length_tokens < self.limit_tokens {
@@ -34,39 +35,39 @@
     }
 }
 
-/// Way in which an answer differs.
+/// Difference between an answer and the expected one.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum WrongAnswer {
-    /// Other text than expected.
+    /// Text differs from the expected token.
     #[error("token {offset} differs: expected {expected:?}, got {got:?}")]
     TokenMismatch {
         /// Offset of the token.
         offset: u32,
-        /// Rest of that token's text.
+        /// Remaining expected text of that token.
         expected: String,
-        /// Text that came in its place.
+        /// Text received instead.
         got: String,
     },
-    /// A frame says another offset than the next one.
+    /// A frame has an unexpected offset.
     #[error("frame of offset {got} where {expected} was due")]
     OffsetMismatch {
-        /// Offset due.
+        /// Expected offset.
         expected: u32,
-        /// Offset that the frame names.
+        /// Offset in the frame.
         got: u32,
     },
     /// Text after the last token.
     #[error("text after the last of {length_tokens} tokens")]
     TooLong {
-        /// Length of the whole answer, in tokens.
+        /// Expected length of the answer, in tokens.
         length_tokens: u32,
     },
     /// End before the last token.
     #[error("answer ends after {got_tokens} of {length_tokens} tokens")]
     Truncated {
-        /// Whole tokens that came.
+        /// Complete tokens received.
         got_tokens: u32,
-        /// Length of the whole answer, in tokens.
+        /// Expected length of the answer, in tokens.
         length_tokens: u32,
     },
     /// No finish reason, or more than one.
@@ -75,21 +76,21 @@
     /// Another finish reason than expected.
     #[error("finish reason {0:?}")]
     FinishReason(String),
-    /// An error that denies the run of an answer that had begun.
+    /// Error with outcome `not_run` after tokens were received.
     #[error("an answer that had begun ends with outcome not_run")]
     NotRunAfterTokens,
-    /// The stream ended without its end mark.
+    /// The stream ended without `[DONE]`.
     #[error("stream ends without [DONE]")]
     MissingDoneMarker,
-    /// An event after the end mark or a body of another shape.
+    /// Event after `[DONE]` or after an error event, or a body of an unexpected format.
     #[error("answer is malformed: {0}")]
     Malformed(String),
 }
 
-/// Progress of one answer.
+/// Incremental checker of one answer.
 ///
-/// Invariant: all text before `rest` was checked; `rest` is the unread part of
-/// the token before `next_offset`.
+/// Invariant: all received text was checked; `remaining_text` is the part of
+/// token `next_offset - 1` that has not been received yet.
 #[derive(Debug)]
 pub struct AnswerChecker {
     expected: Expected,
@@ -99,7 +100,7 @@
 }
 
 impl AnswerChecker {
-    /// Checker that has read nothing.
+    /// Creates a checker that has received nothing.
     #[must_use]
     pub const fn new(expected: Expected) -> Self {
         Self {
@@ -110,10 +111,10 @@
         }
     }
 
-    /// Takes the offset that a frame names.
+    /// Checks the offset of a frame.
     ///
     /// # Errors
-    /// [`WrongAnswer::Offset`] when another one is due.
+    /// [`WrongAnswer::Offset`] when another one is expected.
     pub const fn offset(&self, got: u32) -> Result<(), WrongAnswer> {
         if got == self.next_offset {
             return Ok(());
@@ -122,7 +123,7 @@
         Err(WrongAnswer::OffsetMismatch { expected, got })
     }
 
-    /// Takes the next piece of text; pieces may split or join tokens.
+    /// Checks the next piece of text; pieces may split or join tokens.
     ///
     /// # Errors
     /// [`WrongAnswer`] at the first difference.
@@ -146,10 +147,10 @@
         Ok(())
     }
 
-    /// Takes a finish reason.
+    /// Checks a finish reason.
     ///
     /// # Errors
-    /// [`WrongAnswer::FinishReason`] when it is another one than expected.
+    /// [`WrongAnswer::FinishReason`] when it is not the expected one.
     pub fn finish_reason(&mut self, got: &str) -> Result<(), WrongAnswer> {
         if got != self.expected.finish_reason() {
             return Err(WrongAnswer::FinishReason(got.to_owned()));
@@ -158,7 +159,7 @@
         Ok(())
     }
 
-    /// Whole tokens read so far.
+    /// Returns the number of complete tokens received.
     #[must_use]
     pub const fn tokens(&self) -> u32 {
         if self.remaining_text.is_empty() {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Takes the end of the answer.
+    /// Checks that the answer is complete.
     ///
     /// # Errors
     /// [`WrongAnswer`] when a token or the finish reason is missing.
@@ -203,7 +204,8 @@
     }
 }
 
-/// Length of the common start of two texts, at a character's border.
+/// Returns the length of the longest common prefix in bytes, at a character
+/// boundary.
 fn common_prefix_bytes(left: &str, right: &str) -> usize {
     let pairs = left.chars().zip(right.chars());
     pairs
--- a/crates/load/src/wire.rs
+++ b/crates/load/src/wire.rs
@@ -1,10 +1,9 @@
-//! Shapes of the answers that the tool reads.
+//! JSON formats of the answers that the tool parses.
 
 use mangofront_http::ErrorDetail;
 use serde::Deserialize;
 
-/// Event or body of any of the dialects: a daemon's to its callers, or an
-/// engine's.
+/// Event or body in the format of a daemon or of an engine.
 #[derive(Deserialize)]
 pub(crate) struct Chunk {
     #[serde(default)]
@@ -35,7 +34,7 @@
 }
 
 impl Chunk {
-    /// Text and finish reason, wherever the dialect has them.
+    /// Returns the text and finish reason from the fields that the format uses.
     pub(crate) fn text_and_finish(&self) -> (Option<&str>, Option<&str>) {
         let Some(choice) = self.choices.first() else {
             return (self.text.as_deref(), self.finish_reason.as_deref());
