--- a/crates/load/src/scenario/check.rs
+++ b/crates/load/src/scenario/check.rs
@@ -1,14 +1,14 @@
-//! Contradictions within a scenario.
+//! Consistency checks of a scenario.
 
 use mangofront_settings::published::Configuration;
 
 use super::{Kind, LengthRange, ModelKind, Scenario};
 
-/// Longest prompt of a scenario, in tokens: twice what users send today.
+/// Maximum prompt length, in tokens: twice the longest that users send.
 const MAX_PROMPT_TOKENS: u64 = 2_000_000;
 
 impl Scenario {
-    /// First contradiction, as a sentence.
+    /// Returns a description of the first inconsistency.
     pub(super) fn problem(&self) -> Option<String> {
         if self.organisations.is_empty() || self.mix.is_empty() {
             return Some("organisations and mix must not be empty".to_owned());
@@ -55,13 +55,13 @@
     if least == 0 || least > greatest {
         return Some(format!("max_tokens of {} is no range", kind.class));
     }
-    let sound = |range: &LengthRange| {
+    let is_valid = |range: &LengthRange| {
         0 < range.from_tokens
             && range.from_tokens <= range.to_tokens
             && range.to_tokens <= MAX_PROMPT_TOKENS
             && is_positive(range.weight)
     };
-    if kind.lengths.is_empty() || !kind.lengths.iter().all(sound) {
+    if kind.lengths.is_empty() || !kind.lengths.iter().all(is_valid) {
         return Some(format!("lengths of {} are no ranges", kind.class));
     }
     None
--- a/crates/load/src/scenario/mod.rs
+++ b/crates/load/src/scenario/mod.rs
@@ -1,8 +1,8 @@
-//! Scenario documents: who sends what, how long and how often.
+//! Scenario documents: the callers, their requests, prompt lengths and rates.
 //!
-//! A scenario is a JSONC file. It carries the configuration that an operator
-//! would publish for it, so the targets that a report judges by are those that
-//! the daemons were given.
+//! A scenario is a JSONC file. It contains the configuration that an operator
+//! would publish for it, so a report evaluates the same targets that the daemons
+//! were given.
 
 mod check;
 
@@ -13,10 +13,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Prompts longer than this are the long ones, in tokens.
+/// Prompts longer than this count as long, in tokens.
 pub const LONG_TOKENS: u64 = 100_000;
 
-/// Scenarios within the program, by name.
+/// Scenarios embedded in the program, by name.
 const EMBEDDED: [(&str, &str); 3] = [
     ("tuul", include_str!("../../scenarios/tuul.jsonc")),
     (
@@ -32,35 +32,36 @@
 pub struct Scenario {
     /// Name, as given on the command line.
     pub name: String,
-    /// Requests a second that the fleet carries.
+    /// Capacity of the fleet, in requests per second.
     pub capacity_per_s: f64,
-    /// Rates as factors of the capacity.
+    /// Request rates, as factors of the capacity.
     pub rate_factors: RateFactors,
-    /// Time during which requests arrive, in seconds.
+    /// Duration of the arrivals, in seconds.
     pub duration_s: u64,
-    /// Most requests of a run.
+    /// Maximum number of requests in a run.
     pub request_cap: usize,
-    /// Most requests under way at once.
+    /// Maximum number of requests in flight.
     pub concurrency_cap: usize,
-    /// Exponent of the organisations' sizes; 0 makes them equal.
+    /// Exponent of the Zipf distribution of requests over organisations; 0 makes
+    /// it uniform.
     pub zipf_exponent: f64,
-    /// Organisations, largest first.
+    /// Organisations, by descending number of requests.
     pub organisations: Vec<OrganisationId>,
-    /// Texts that an organisation reads again and again.
+    /// Number of shared prompt prefixes for each organisation.
     pub histories_per_organisation: u32,
-    /// What the operators publish.
+    /// Configuration that operators publish.
     pub configuration: Configuration,
-    /// Kinds of requests.
+    /// Kinds of requests and their shares.
     pub mix: Vec<Kind>,
 }
 
-/// Rates as factors of the capacity.
+/// Request rates, as factors of the capacity.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RateFactors {
-    /// An ordinary week.
+    /// Rate of an ordinary week.
     pub normal: f64,
-    /// The peak week.
+    /// Rate of the peak week.
     pub peak: f64,
 }
 
@@ -75,7 +76,7 @@
 }
 
 impl Kind {
-    /// Share of all requests, relative to the other kinds.
+    /// Returns the share of all requests, relative to the other kinds.
     #[must_use]
     pub const fn share(&self) -> f64 {
         match self {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Class of the requests.
+    /// Returns the class of the requests.
     #[must_use]
     pub const fn class(&self) -> &ClassName {
         match self {
@@ -100,35 +101,35 @@
 pub struct ModelKind {
     /// Class of the requests.
     pub class: ClassName,
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelName,
-    /// Path called.
+    /// Endpoint of the requests.
     pub endpoint: Endpoint,
     /// Whether the answer is streamed.
     pub stream: bool,
     /// Share of all requests, relative to the other kinds.
     pub share: f64,
-    /// Share of the prompts that begin with one of the organisation's histories.
+    /// Share of the prompts that start with one of the organisation's histories.
     pub shared_prefix_share: f64,
-    /// Least and greatest answer limit, in tokens.
+    /// Minimum and maximum answer limit, in tokens.
     pub max_tokens: [u32; 2],
     /// Lengths of the prompts.
     pub lengths: Vec<LengthRange>,
 }
 
-/// Range of prompt lengths, log-uniform within.
+/// Range of prompt lengths with a log-uniform distribution.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LengthRange {
-    /// Least length, in tokens.
+    /// Minimum length, in tokens.
     pub from_tokens: u64,
-    /// Greatest length, in tokens.
+    /// Maximum length, in tokens.
     pub to_tokens: u64,
     /// Share within the kind, relative to its other ranges.
     pub weight: f64,
 }
 
-/// Path of a model request.
+/// Endpoint of a model request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Endpoint {
@@ -139,7 +140,7 @@
 }
 
 impl Endpoint {
-    /// Path of the calls.
+    /// Returns the URL path.
     #[must_use]
     pub const fn path(self) -> &'static str {
         match self {
@@ -165,29 +166,29 @@
     pub repeat_share: f64,
 }
 
-/// Scenario that can't be used.
+/// Failure to load a scenario.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
-    /// Neither an embedded name nor a readable file.
+    /// The name is neither an embedded scenario nor a readable file.
     #[error("scenario {name} is neither embedded nor a readable file: {source}")]
     Unreadable {
-        /// Name that was given.
+        /// Name of the scenario, as given.
         name: String,
-        /// Why the file was not read.
+        /// Error of reading the file.
         source: std::io::Error,
     },
-    /// Not a scenario document.
+    /// The document is not a scenario.
     #[error("scenario {name} is malformed: {problem}")]
     Malformed {
-        /// Name that was given.
+        /// Name of the scenario, as given.
         name: String,
-        /// Place and reason.
+        /// Position and reason.
         problem: String,
     },
-    /// Fields that contradict each other.
+    /// Fields are inconsistent.
     #[error("scenario {name} can't be run: {problem}")]
     Inconsistent {
-        /// Name that was given.
+        /// Name of the scenario, as given.
         name: String,
         /// What is wrong.
         problem: String,
@@ -195,15 +196,15 @@
 }
 
 impl Scenario {
-    /// Names of the scenarios within the program.
+    /// Returns the names of the embedded scenarios.
     pub fn embedded() -> impl Iterator<Item = &'static str> {
         EMBEDDED.iter().map(|(name, _)| *name)
     }
 
-    /// Reads an embedded scenario by name, or else a file.
+    /// Loads the embedded scenario of this name, or else the file at this path.
     ///
     /// # Errors
-    /// [`ScenarioError`] when there is none or it can't be used.
+    /// [`ScenarioError`] when it can't be read or is invalid.
     pub fn load(name: &str) -> Result<Self, ScenarioError> {
         if let Some((_, text)) = EMBEDDED.iter().find(|(known, _)| *known == name) {
             return Self::parse(name, text);
@@ -217,10 +218,10 @@
         Self::parse(name, &text)
     }
 
-    /// Reads a scenario from the text of a JSONC document.
+    /// Parses a scenario from the text of a JSONC document.
     ///
     /// # Errors
-    /// [`ScenarioError`] when it is malformed or contradicts itself.
+    /// [`ScenarioError`] when it is malformed or inconsistent.
     pub fn parse(name: &str, text: &str) -> Result<Self, ScenarioError> {
         let options = jsonc_parser::ParseOptions::default();
         let scenario: Self =
@@ -239,7 +240,7 @@
         }
     }
 
-    /// First kind of prompts in the mix.
+    /// Returns the first model kind in the mix.
     #[must_use]
     pub fn first_model(&self) -> Option<&ModelKind> {
         self.mix.iter().find_map(|kind| match kind {
@@ -248,7 +249,7 @@
         })
     }
 
-    /// Share of the prompts that are longer than [`LONG_TOKENS`].
+    /// Returns the share of the prompts that are longer than [`LONG_TOKENS`].
     #[must_use]
     pub fn long_share(&self) -> f64 {
         let mut long = 0.0;
