--- a/crates/load/src/report/build.rs
+++ b/crates/load/src/report/build.rs
@@ -1,4 +1,4 @@
-//! A report made of a run's record.
+//! Builds a report from the raw measurements of a run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,10 +17,11 @@
 use crate::sample::{End, Sample, SampleKind};
 use crate::times::{LatencyHistogram, scaled};
 
-/// Most problems of a kind listed.
+/// Maximum number of failures, and of wrong answers, listed in a report.
 const MAX_PROBLEMS_LISTED: usize = 20;
 
-/// Makes the report of `record`, judged by the targets in `configuration`.
+/// Builds the report of `record`, evaluated against the targets in
+/// `configuration`.
 #[must_use]
 pub fn build(metadata: &RunMetadata, configuration: &Configuration, record: &RunRecord) -> Report {
     let samples = record.samples.as_slice();
@@ -61,7 +62,7 @@
     }
 }
 
-/// Targets of the classes, in the wall clock's time.
+/// Targets and limits of the classes, scaled to the wall clock.
 struct ClassLimits<'a> {
     configuration: &'a Configuration,
     time_scale: f64,
@@ -83,7 +84,7 @@
 
     fn meets_target(&self, sample: &Sample) -> bool {
         let started = match sample.end {
-            // An answer that is not streamed starts when it is there.
+            // An answer that is not streamed starts when it is complete.
             End::Done => Some(sample.first_token.unwrap_or(sample.total)),
             End::WrongAnswer { .. } => None,
             _ => sample.first_token,
@@ -188,8 +189,8 @@
     }
 }
 
-/// Counts what ended while requests still arrived: the quiet time after the
-/// last arrival says nothing of the load.
+/// Counts only requests that ended while others still arrived, as the load falls
+/// after the last arrival.
 fn goodput(samples: &[Sample], limits: &ClassLimits<'_>, arrivals: Duration) -> Goodput {
     let ended_in_time = |sample: &&Sample| sample.due + sample.lateness + sample.total <= arrivals;
     let good = samples.iter().filter(|sample| limits.meets_limit(sample));
--- a/crates/load/src/report/chart.rs
+++ b/crates/load/src/report/chart.rs
@@ -1,4 +1,4 @@
-//! A report as a picture: times to first token by length and by class.
+//! SVG chart of a report: times to first token by length and by class.
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -7,26 +7,26 @@
 use super::Report;
 use crate::times::Quantiles;
 
-/// Size of the picture, in pixels.
+/// Size of the chart, in pixels.
 const CHART_SIZE: (u32, u32) = (1000, 900);
 
-/// Height of the upper half, in pixels.
-const UPPER_CHART_HEIGHT: u32 = 450;
+/// Height of the upper panel, in pixels.
+const UPPER_PANEL_HEIGHT: u32 = 450;
 
-/// Width of one bar; the space of a group is 1.
+/// Width of one bar, relative to the width of a group.
 const BAR_WIDTH: f64 = 0.25;
 
-/// Quantiles drawn, with their colours.
+/// Quantiles shown, with their colours.
 const BARS: [(&str, RGBColor); 3] = [
     ("p50", RGBColor(120, 170, 220)),
     ("p95", RGBColor(40, 100, 170)),
     ("p99", RGBColor(15, 45, 90)),
 ];
 
-/// Colour of a class's target.
+/// Colour of the line at a class's target.
 const TARGET_COLOUR: RGBColor = RGBColor(200, 60, 40);
 
-/// Picture that could not be drawn.
+/// Failure to draw a chart.
 #[derive(Debug, Error)]
 #[error("chart could not be drawn: {0}")]
 pub struct ChartError(String);
@@ -41,13 +41,13 @@
 /// Draws the times to first token by length and class as SVG text.
 ///
 /// # Errors
-/// [`ChartError`] when the library fails.
+/// [`ChartError`] when the drawing library fails.
 pub fn write_chart(report: &Report) -> Result<String, ChartError> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, CHART_SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(failed)?;
-        let (upper, lower) = area.split_vertically(UPPER_CHART_HEIGHT);
+        let (upper, lower) = area.split_vertically(UPPER_PANEL_HEIGHT);
         let title = format!(
             "{} seed {}: time to first token by prompt length, ms",
             report.run.scenario, report.run.seed
@@ -112,9 +112,9 @@
     }
     let targets = groups.iter().enumerate().filter_map(|(index, group)| {
         let target_ms = group.target_ms?;
-        let ends = [index as f64 - 0.45, index as f64 + 0.45];
+        let x_range = [index as f64 - 0.45, index as f64 + 0.45];
         Some(PathElement::new(
-            ends.map(|x| (x, target_ms)),
+            x_range.map(|x| (x, target_ms)),
             TARGET_COLOUR.stroke_width(3),
         ))
     });
@@ -129,7 +129,7 @@
     label_groups(area, &chart, groups, low)
 }
 
-/// Writes each group's name below it: the axis has numbers only.
+/// Draws each group's name below it, as the axis labels only numbers.
 fn label_groups<DB: DrawingBackend>(
     area: &DrawingArea<DB, Shift>,
     chart: &ChartContext<
--- a/crates/load/src/report/metadata.rs
+++ b/crates/load/src/report/metadata.rs
@@ -1,11 +1,11 @@
-//! How a run was made.
+//! Metadata of a run.
 
 use crate::requests::RequestFactory;
 use crate::scenario::Scenario;
 use crate::schedule::Plan;
 use crate::text::TextSalt;
 
-/// What the record does not say about its run.
+/// Parameters of a run that its record does not contain.
 #[derive(Debug, Clone)]
 pub struct RunMetadata {
     pub(super) scenario: String,
@@ -16,8 +16,8 @@
 }
 
 impl RunMetadata {
-    /// Facts of a run of `scenario` under `plan`, which is in the wall clock's
-    /// time, with `requests`.
+    /// Creates the metadata of a run of `scenario` with `requests`; the times in
+    /// `plan` are in wall-clock time.
     #[must_use]
     pub fn new(scenario: &Scenario, plan: Plan, requests: &RequestFactory) -> Self {
         Self {
--- a/crates/load/src/report/mod.rs
+++ b/crates/load/src/report/mod.rs
@@ -1,7 +1,7 @@
-//! The report of a run, as others read it.
+//! Serialised report of a run.
 //!
-//! Field names are stable and carry their units; `docs/load.md` says what each
-//! figure means.
+//! Field names are stable and include their units; `docs/load.md` defines each
+//! field.
 
 mod build;
 mod chart;
@@ -24,39 +24,39 @@
 use crate::executions::ExecutionCheck;
 use crate::times::Quantiles;
 
-/// Version of the report's form.
+/// Version of the report format.
 pub const REPORT_VERSION: u32 = 1;
 
-/// One run.
+/// Report of one run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Version of this form.
+    /// Version of the report format.
     pub report_version: u32,
-    /// How the run was made.
+    /// Parameters of the run.
     pub run: RunReport,
-    /// Requests by their end.
+    /// Requests by outcome.
     pub counts: Counts,
-    /// The generator's own state.
+    /// Measurements of the generator itself.
     pub generator: GeneratorReport,
     /// Prompts by length.
     pub by_length: BTreeMap<LengthBucket, LengthReport>,
     /// Requests by class.
     pub by_class: BTreeMap<ClassName, ClassReport>,
-    /// Time between two tokens of a stream.
+    /// Time between consecutive tokens of a stream.
     pub time_between_tokens: Quantiles,
-    /// Work that counts.
+    /// Rate of requests and tokens that completed within their limits.
     pub goodput: Goodput,
     /// Refusals by code.
     pub refused_by_code: BTreeMap<String, u64>,
-    /// Time from sending to the whole refusal.
+    /// Time from sending to the complete refusal.
     pub refusal_answer_time: Quantiles,
     /// Failures by code and outcome.
     pub failed_by_cause: BTreeMap<String, u64>,
-    /// Shares of the organisations.
+    /// Distribution of completed requests over the organisations.
     pub fairness: Fairness,
     /// Calls of services.
     pub services: ServiceReport,
-    /// What the services themselves counted, when they were asked.
+    /// Executions that the services counted, when they were queried.
     pub counted_services: Option<ExecutionCheck>,
     /// First failures.
     pub first_failures: Vec<ProblemReport>,
@@ -64,39 +64,40 @@
     pub wrong_answers: Vec<ProblemReport>,
 }
 
-/// How a run was made.
+/// Parameters of a run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunReport {
     /// Name of the scenario.
     pub scenario: String,
     /// Seed of the schedule.
     pub seed: u64,
-    /// Salt of the texts.
+    /// Salt of the prompt texts.
     pub text_salt: u64,
     /// Number of target addresses.
     pub targets: usize,
-    /// Mean arrivals a second, of the wall clock.
+    /// Mean arrivals per second of wall-clock time.
     pub rate_per_s: f64,
-    /// Factor on the durations of the scenario, its classes' targets included.
+    /// Factor applied to the durations of the scenario, including its classes'
+    /// targets.
     pub time_scale: f64,
-    /// Whether prompts over 100 000 tokens were left out.
+    /// Whether prompts over 100 000 tokens were excluded.
     pub without_long: bool,
     /// Time during which requests arrived, in milliseconds.
     pub arrivals_ms: f64,
-    /// Time to the last answer, in milliseconds.
+    /// Time from the start to the last answer, in milliseconds.
     pub elapsed_ms: f64,
 }
 
-/// Requests by their end.
+/// Requests by outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Counts {
     /// All requests of the schedule, and repeats of service calls.
     pub requests: u64,
-    /// Whole and right answers.
+    /// Complete and correct answers.
     pub done: u64,
-    /// Refusals that say that nothing ran.
+    /// Refusals, whose requests were not run.
     pub refused: u64,
-    /// Failures after the work may have started.
+    /// Failures after the request may have started to run.
     pub failed: u64,
     /// Wrong, mixed or truncated answers.
     pub wrong_answer: u64,
@@ -104,19 +105,19 @@
     pub generator_failure: u64,
 }
 
-/// The generator's own state.
+/// Measurements of the generator itself.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct GeneratorReport {
-    /// Time by which requests were sent later than due.
+    /// Delay between due time and sending.
     pub lateness: Quantiles,
-    /// Most requests under way at once.
+    /// Maximum number of requests in flight.
     pub in_flight_max: usize,
 }
 
 /// Prompts of one length bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct LengthReport {
-    /// Prompts sent or due.
+    /// Prompts by outcome.
     pub counts: Counts,
     /// Time to first token of the prompts that got one.
     pub time_to_first_token: Quantiles,
@@ -125,50 +126,51 @@
 /// Requests of one class.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct ClassReport {
-    /// Target for the start of the answer, of the wall clock, in milliseconds.
+    /// Target for the start of the answer, in milliseconds of wall-clock time.
     pub target_ms: f64,
-    /// Limit for its end, of the wall clock, in milliseconds.
+    /// Limit for the end of the answer, in milliseconds of wall-clock time.
     pub limit_ms: f64,
-    /// Requests sent or due.
+    /// Requests by outcome.
     pub counts: Counts,
     /// Time to first token of the requests that got one.
     pub time_to_first_token: Quantiles,
-    /// Time to the end of the whole answers.
+    /// Time to the end of the complete answers.
     pub total: Quantiles,
-    /// Share of the admitted whose first token (or whole answer, where there is
-    /// no stream) came within the target.
+    /// Share of the admitted requests whose first token (or complete answer,
+    /// without a stream) arrived within the target.
     pub target_met_share: f64,
-    /// Share of the admitted that were done within the limit.
+    /// Share of the admitted requests that were done within the limit.
     pub limit_met_share: f64,
 }
 
-/// Requests done within their class's limit and before the last arrival was
-/// due, by the time during which requests arrived.
+/// Rate of requests done within their class's limit and within the duration of
+/// the arrivals.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Goodput {
-    /// Such requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Their answers' tokens a second.
+    /// Answer tokens of these requests per second.
     pub tokens_per_s: f64,
 }
 
-/// Shares of the organisations.
+/// Distribution of completed requests over the organisations.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Fairness {
-    /// Jain's index of the served shares: 1 is even, 1/n is one for all.
+    /// Jain's fairness index of the served shares: 1 when all are equal, 1/n when
+    /// one of n organisations gets everything.
     pub jain_index: f64,
-    /// Each organisation.
+    /// Requests and share of each organisation.
     pub organisations: BTreeMap<OrganisationId, Served>,
 }
 
-/// What one organisation got.
+/// Requests of one organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Served {
     /// Requests sent.
     pub offered: u64,
     /// Requests done.
     pub done: u64,
-    /// Done by offered.
+    /// `done` divided by `offered`.
     pub share: f64,
 }
 
@@ -179,7 +181,7 @@
     pub keys: u64,
     /// Calls sent a second time with the same key.
     pub repeats: u64,
-    /// Keys that ran more than once, by an answer.
+    /// Keys that were executed more than once, as an answer reports.
     pub duplicates: u64,
     /// Calls answered with outcome unknown.
     pub unknown: u64,
@@ -190,8 +192,8 @@
 /// One failure or wrong answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProblemReport {
-    /// Id that the daemon gave it.
+    /// Request id that the daemon assigned.
     pub request_id: Option<String>,
-    /// What went wrong.
+    /// Description of the problem.
     pub problem: String,
 }
--- a/crates/load/src/report/rounding.rs
+++ b/crates/load/src/report/rounding.rs
@@ -1,8 +1,8 @@
-//! Numbers as reports show them.
+//! Rounding of the numbers in reports.
 
 use std::time::Duration;
 
-/// `part` of `whole`, 0 of nothing.
+/// Returns `part` divided by `whole`, or 0 when `whole` is 0.
 pub(super) fn share(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         return 0.0;
@@ -10,12 +10,12 @@
     rounded(part as f64 / whole as f64)
 }
 
-/// To four decimals: more would only be noise in a report.
+/// Rounds to four decimal places; further digits are noise.
 pub(super) fn rounded(value: f64) -> f64 {
     (value * 10_000.0).round() / 10_000.0
 }
 
-/// Milliseconds of `time`.
+/// Returns `time` in milliseconds.
 pub(super) fn millis(time: Duration) -> f64 {
     rounded(time.as_secs_f64() * 1000.0)
 }
--- a/crates/load/src/report/shares.rs
+++ b/crates/load/src/report/shares.rs
@@ -1,4 +1,4 @@
-//! What organisations and services got.
+//! Aggregation of requests by organisation and of service calls.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use super::{Fairness, Served, ServiceReport};
 use crate::sample::{End, Sample, SampleKind};
 
-/// Shares that the organisations got of what they asked for.
+/// Returns the shares of the organisations' requests that were done.
 pub(super) fn fairness(samples: &[Sample]) -> Fairness {
     let mut organisations: BTreeMap<String, Served> = BTreeMap::new();
     for sample in samples {
@@ -40,7 +40,7 @@
     rounded(sum * sum / (shares.len() as f64 * squares))
 }
 
-/// Calls of services, by what their answers told.
+/// Counts the service calls by their answers.
 pub(super) fn services(samples: &[Sample]) -> ServiceReport {
     let mut report = ServiceReport::default();
     let mut keys = BTreeSet::new();
--- a/crates/load/src/report/table.rs
+++ b/crates/load/src/report/table.rs
@@ -1,14 +1,14 @@
-//! A report as aligned text.
+//! Report as an aligned text table.
 
 use std::fmt::Write;
 
 use super::{Counts, Report};
 use crate::times::Quantiles;
 
-/// Most failures shown; the JSON form has more.
+/// Maximum number of failures shown; the JSON report lists more.
 const MAX_FAILURES_SHOWN: usize = 3;
 
-/// Report for a person at a terminal.
+/// Formats the report for a terminal.
 #[must_use]
 pub fn table(report: &Report) -> String {
     let mut text = String::new();
