--- a/crates/load/src/capacity/mod.rs
+++ b/crates/load/src/capacity/mod.rs
@@ -1,8 +1,8 @@
-//! Highest rate of short streamed requests that is held.
+//! Search for the highest sustainable rate of short streamed requests.
 //!
-//! The rate grows step by step until a step breaks. A step is held when its
-//! answers come, in time and right; a step in which the generator itself was
-//! late says nothing of the target and ends the search.
+//! The rate grows step by step until a step fails. A step passes when its
+//! answers are correct and in time; a step in which the generator itself was
+//! late is not evidence about the target and ends the search.
 
 mod plan;
 
@@ -20,68 +20,68 @@
 use crate::text::fresh_salt;
 use crate::times::{LatencyHistogram, Quantiles};
 
-/// Share of requests that may be refused or fail in a step that is held.
+/// Maximum share of refused and failed requests in a step that passes.
 const MAX_ERROR_SHARE: f64 = 0.001;
 
-/// Lateness of the generator at p99 from which its step counts no more, in
-/// milliseconds.
+/// Maximum lateness of the generator at p99 in a valid step, in milliseconds.
 const MAX_LATENESS_MS: f64 = 20.0;
 
 /// Result of the search.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CapacityReport {
-    /// Highest rate held, in requests a second; 0 when the first step broke.
+    /// Highest rate that passed, in requests per second; 0 when the first step
+    /// failed.
     pub held_rate_per_s: f64,
-    /// Why the search ended.
+    /// Result of the last step, which ended the search.
     pub ended: StepEnd,
-    /// All steps, the one that broke included.
+    /// All steps, including the one that failed.
     pub steps: Vec<StepReport>,
 }
 
-/// One step.
+/// Measurements of one step.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StepReport {
-    /// Arrivals a second that were asked for.
+    /// Mean arrivals per second.
     pub rate_per_s: f64,
-    /// Right answers a second, of the time to the last answer.
+    /// Correct answers per second, over the time to the last answer.
     pub done_per_s: f64,
-    /// Requests by their end.
+    /// Requests by outcome.
     pub counts: Counts,
     /// Time to first token.
     pub time_to_first_token: Quantiles,
     /// Time to the end of the answer.
     pub total: Quantiles,
-    /// The generator's own state.
+    /// Measurements of the generator itself.
     pub generator: GeneratorReport,
-    /// Usage of the process, when one was named.
+    /// Resource usage of the process, when one was specified.
     pub usage: Option<UsageReport>,
-    /// How the step is judged.
+    /// Result of the step.
     pub end: StepEnd,
 }
 
-/// Judgement of a step.
+/// Result of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StepEnd {
-    /// The rate was held.
+    /// The step passed.
     Held,
     /// Too many refusals or failures.
     Errors,
-    /// An answer was wrong.
+    /// At least one answer was wrong.
     WrongAnswer,
-    /// First tokens came too late.
+    /// The time to first token at p99 was above the limit.
     Slow,
-    /// More requests were under way at once than the plan allows: answers take
-    /// too long for the rate.
+    /// The number of requests in flight reached the limit, as answers take too
+    /// long for the rate.
     ConcurrencyCap,
-    /// The generator was late.
+    /// The generator sent requests too late.
     GeneratorSaturated,
 }
 
 /// Runs the search.
 ///
 /// # Errors
-/// [`UsageError`] when the named process can't be read.
+/// [`UsageError`] when the usage of the specified process can't be read.
 pub async fn search(
     client: &Client,
     base: &Scenario,
@@ -107,7 +107,7 @@
     Ok(report)
 }
 
-/// The scenario of a step: nothing but short streamed prompts.
+/// Returns a copy of `base` that has only short streamed prompts.
 fn short_requests(base: &Scenario, plan: &CapacityPlan) -> Scenario {
     let mut scenario = base.clone();
     scenario.request_cap = usize::MAX;
@@ -142,7 +142,7 @@
     rate_per_s: f64,
     step: u64,
 ) -> Result<StepReport, UsageError> {
-    // Another seed in each step: a repeated prompt would be found cached.
+    // Each step has its own seed, as a repeated prompt would be cached.
     let schedule_plan = Plan::new(rate_per_s, plan.step).seed(step + 1);
     let requests = RequestFactory::builder(scenario, plan.targets.clone())
         .text_salt(fresh_salt())
--- a/crates/load/src/capacity/plan.rs
+++ b/crates/load/src/capacity/plan.rs
@@ -1,4 +1,4 @@
-//! How to look for the highest rate.
+//! Parameters of the search for the highest rate.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,25 +7,25 @@
 use crate::probe::PromptSize;
 use crate::process::Pid;
 
-/// Rate of the first step, in requests a second.
+/// Default rate of the first step, in requests per second.
 const DEFAULT_FIRST_RATE_PER_S: f64 = 50.0;
 
-/// Factor from step to step.
+/// Default factor between the rates of two steps.
 const DEFAULT_GROWTH: f64 = 1.25;
 
-/// Length of a step.
+/// Default duration of a step.
 const DEFAULT_STEP: Duration = Duration::from_secs(5);
 
-/// Most steps.
+/// Default maximum number of steps.
 const DEFAULT_STEPS_CAP: u64 = 25;
 
-/// Greatest time to first token at p99, in milliseconds: the users' target.
+/// Default maximum time to first token at p99, in milliseconds: the users' target.
 const DEFAULT_FIRST_TOKEN_LIMIT_MS: f64 = 520.0;
 
-/// Most requests under way at once.
+/// Default maximum number of requests in flight.
 const DEFAULT_CONCURRENCY_CAP: usize = 2000;
 
-/// How to look for the highest rate.
+/// Parameters of the search for the highest rate.
 #[derive(Debug, Clone)]
 pub struct CapacityPlan {
     pub(super) targets: Vec<SocketAddr>,
@@ -41,7 +41,7 @@
 }
 
 impl CapacityPlan {
-    /// Search of the highest rate that `targets` hold.
+    /// Plans a search for the highest rate that `targets` sustain.
     #[must_use]
     pub const fn new(targets: Vec<SocketAddr>) -> Self {
         Self {
@@ -58,49 +58,49 @@
         }
     }
 
-    /// Process whose usage is read; none by default.
+    /// Process whose resource usage is measured; none by default.
     #[must_use]
     pub const fn pid(mut self, pid: Option<Pid>) -> Self {
         self.pid = pid;
         self
     }
 
-    /// Rule by which engines answer; the emulated engine's by default.
+    /// Rule that defines the engines' answers; the emulated engine's by default.
     #[must_use]
     pub const fn rule(mut self, rule: AnswerRule) -> Self {
         self.rule = rule;
         self
     }
 
-    /// Rate of the first step, in requests a second; 50 by default.
+    /// Rate of the first step, in requests per second; 50 by default.
     #[must_use]
     pub const fn first_rate_per_s(mut self, rate_per_s: f64) -> Self {
         self.first_rate_per_s = rate_per_s;
         self
     }
 
-    /// Factor from step to step, above 1; 1.25 by default.
+    /// Factor between the rates of two steps, above 1; 1.25 by default.
     #[must_use]
     pub const fn growth(mut self, growth: f64) -> Self {
         self.growth = growth;
         self
     }
 
-    /// Length of a step; 5 s by default.
+    /// Duration of a step; 5 s by default.
     #[must_use]
     pub const fn step(mut self, step: Duration) -> Self {
         self.step = step;
         self
     }
 
-    /// Most steps; 25 by default.
+    /// Maximum number of steps; 25 by default.
     #[must_use]
     pub const fn steps_cap(mut self, steps_cap: u64) -> Self {
         self.steps_cap = steps_cap;
         self
     }
 
-    /// Greatest time to first token at p99 of a step that is held, in
+    /// Maximum time to first token at p99 of a step that passes, in
     /// milliseconds; 520 by default.
     #[must_use]
     pub const fn first_token_limit_ms(mut self, limit_ms: f64) -> Self {
@@ -115,7 +115,7 @@
         self
     }
 
-    /// Most requests under way at once; 2000 by default.
+    /// Maximum number of requests in flight; 2000 by default.
     #[must_use]
     pub const fn concurrency_cap(mut self, concurrency_cap: usize) -> Self {
         self.concurrency_cap = concurrency_cap;
