--- a/crates/load/src/cli/capacity.rs
+++ b/crates/load/src/cli/capacity.rs
@@ -1,4 +1,4 @@
-//! `mangofront load capacity`: the highest rate that is held.
+//! `mangofront load capacity`: searches for the highest sustainable rate.
 
 use std::fmt::Write;
 use std::time::Duration;
--- a/crates/load/src/cli/compare.rs
+++ b/crates/load/src/cli/compare.rs
@@ -1,4 +1,4 @@
-//! `mangofront load compare`: two reports side by side.
+//! `mangofront load compare`: compares two reports.
 
 use std::fmt::Write;
 
--- a/crates/load/src/cli/idle.rs
+++ b/crates/load/src/cli/idle.rs
@@ -1,4 +1,4 @@
-//! `mangofront load idle`: the figures of an idle engine.
+//! `mangofront load idle`: measures an idle engine.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/crates/load/src/cli/latency.rs
+++ b/crates/load/src/cli/latency.rs
@@ -1,4 +1,5 @@
-//! `mangofront load latency`: a daemon against the engine behind it.
+//! `mangofront load latency`: compares the latency of a daemon with that of
+//! the engine behind it.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -17,16 +18,16 @@
 use crate::scenario::Scenario;
 use crate::times::Quantiles;
 
-/// Pairs of each comparison.
+/// Default number of pairs in each comparison.
 const DEFAULT_PAIRS: u64 = 500;
 
-/// Seed of the prompts.
+/// Default seed of the prompts.
 const DEFAULT_SEED: u64 = 1;
 
-/// Distance between the seeds of the two comparisons.
+/// Difference between the seeds of the two comparisons.
 const CONCURRENT_SEED_OFFSET: u64 = 1 << 48;
 
-/// Workers of the concurrent comparison.
+/// Default number of workers in the concurrent comparison.
 const DEFAULT_WORKERS: u64 = 32;
 
 struct Options {
@@ -39,7 +40,7 @@
     json: Option<String>,
 }
 
-/// Both comparisons, and the named process's usage over them.
+/// Both comparisons, and the resource usage of the specified process during them.
 #[derive(Serialize)]
 struct Latencies {
     sequential: LatencyReport,
@@ -95,7 +96,7 @@
         .workers(options.workers)
         .pairs(options.pairs.div_ceil(options.workers))
         .warm_up_pairs(1)
-        // Other prompts than those that the engine has seen.
+        // Different prompts, as the engine has cached the earlier ones.
         .seed(options.seed.wrapping_add(CONCURRENT_SEED_OFFSET));
     let concurrent = compare(&client, &prober, concurrent).await;
     let elapsed = started.elapsed();
@@ -158,7 +159,7 @@
     writeln!(text)
 }
 
-/// Times at p50, p95 and p99 under the headings of `write`.
+/// Writes the times at p50, p95 and p99 in the columns of `write`.
 fn write_times(
     text: &mut String,
     name: &str,
--- a/crates/load/src/cli/mod.rs
+++ b/crates/load/src/cli/mod.rs
@@ -45,22 +45,22 @@
 mangofront load configuration [--scenario NAME|FILE] [--time-scale S] [--json FILE]
 ";
 
-/// Least number that an option takes.
+/// Minimum value of a numeric option.
 const MIN_NUMBER: f64 = 1e-6;
 
-/// Greatest number that an option takes.
+/// Maximum value of a numeric option.
 const MAX_NUMBER: f64 = 1e6;
 
-/// Scenario of a command that names none.
+/// Default scenario of the commands other than `run`.
 const DEFAULT_SCENARIO: &str = "demo";
 
-/// Exit code of a run with a wrong answer.
+/// Exit code of a command whose checks failed.
 const EXIT_CHECK_FAILED: u8 = 1;
 
-/// Exit code of a command that could not be done.
+/// Exit code of a command that could not be executed.
 const EXIT_USAGE: u8 = 2;
 
-/// Command that could not be done.
+/// Failure to execute a command.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
     #[error("arguments: {0}")]
@@ -103,12 +103,13 @@
     },
 }
 
-/// What a command found.
+/// Result of the checks of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// Every answer was right.
+    /// All checks passed.
     Pass,
-    /// An answer was wrong, or a key did not run as was told.
+    /// An answer was wrong, executions contradict answers, or `--all-done` was
+    /// given and a request was not done.
     Fail,
 }
 
@@ -122,18 +123,19 @@
     }
 }
 
-/// Runs `mangofront load` with what follows that word on the command line.
+/// Runs `mangofront load` with the arguments that follow this subcommand.
 ///
-/// Exit codes: 0; 1 when an answer was wrong, a key did not run as its callers
-/// were told, or `--all-done` was asked for and not so; 2 when the command could
-/// not be done.
+/// Exit codes: 0 on success; 1 when an answer was wrong, when the executions of an
+/// idempotency key contradict the answers to its callers, or when `--all-done`
+/// was given and a request was not done; 2 when the command could not be
+/// executed.
 #[must_use]
 pub fn main(args: Arguments) -> ExitCode {
     match dispatch(args) {
         Ok(Verdict::Pass) => ExitCode::SUCCESS,
         Ok(Verdict::Fail) => ExitCode::from(EXIT_CHECK_FAILED),
         Err(error) => {
-            // Where standard error is gone too, the exit code has to tell.
+            // If standard error is closed too, only the exit code reports the failure.
             let _ = writeln!(std::io::stderr(), "mangofront load: {error}");
             ExitCode::from(EXIT_USAGE)
         }
@@ -156,13 +158,14 @@
     }
 }
 
-/// Runs `work` on a runtime of its own.
+/// Runs `work` on a new runtime.
 fn block_on<T>(work: impl Future<Output = Result<T, CommandError>>) -> Result<T, CommandError> {
     let runtime = compio::runtime::Runtime::new().map_err(CommandError::Runtime)?;
     runtime.block_on(work)
 }
 
-/// Prints what `write` puts into a buffer. A reader that went away is no error.
+/// Prints the text that `write` appends to a buffer. A closed pipe is not an
+/// error.
 fn emit(write: impl FnOnce(&mut String) -> std::fmt::Result) -> Result<(), CommandError> {
     let mut text = String::new();
     // Writing to a string can't fail.
@@ -173,7 +176,7 @@
     }
 }
 
-/// Refuses arguments that no option took.
+/// Rejects arguments that no option consumed.
 fn finish(args: Arguments) -> Result<(), CommandError> {
     let leftover = args.finish();
     if leftover.is_empty() {
@@ -182,12 +185,12 @@
     Err(CommandError::Leftover(leftover))
 }
 
-/// Addresses separated by commas.
+/// Parses addresses separated by commas.
 fn addresses(text: &str) -> Result<Vec<SocketAddr>, std::net::AddrParseError> {
     text.split(',').map(str::parse).collect()
 }
 
-/// A number of sensible size, when it is given.
+/// Parses an optional number between [`MIN_NUMBER`] and [`MAX_NUMBER`].
 fn opt_number(args: &mut Arguments, name: &'static str) -> Result<Option<f64>, CommandError> {
     let value: Option<f64> = args.opt_value_from_str(name)?;
     if value.is_some_and(|value| !(MIN_NUMBER..=MAX_NUMBER).contains(&value)) {
@@ -196,7 +199,7 @@
     Ok(value)
 }
 
-/// A whole number above 0, when it is given.
+/// Parses an optional integer above 0.
 fn opt_positive_integer<T>(
     args: &mut Arguments,
     name: &'static str,
@@ -211,7 +214,7 @@
     Ok(value)
 }
 
-/// Size of the prompts that the arguments give.
+/// Parses the size of the prompts.
 fn prompt_size(args: &mut Arguments) -> Result<PromptSize, CommandError> {
     let mut size = PromptSize::default();
     if let Some(length_tokens) = opt_positive_integer(args, "--prompt-tokens")? {
@@ -223,7 +226,7 @@
     Ok(size)
 }
 
-/// The scenario that `--scenario` names, or the default one.
+/// Loads the scenario that `--scenario` names, or the default one.
 fn scenario(args: &mut Arguments) -> Result<Scenario, CommandError> {
     let name: Option<String> = args.opt_value_from_str("--scenario")?;
     Ok(Scenario::load(name.as_deref().unwrap_or(DEFAULT_SCENARIO))?)
@@ -234,7 +237,8 @@
         .ok_or_else(|| CommandError::NoPrompts(scenario.name.clone()))
 }
 
-/// `mangofront load configuration`: what operators publish for a scenario.
+/// `mangofront load configuration`: prints the configuration published for a
+/// scenario.
 fn configuration(mut args: Arguments) -> Result<Verdict, CommandError> {
     let mut configuration = scenario(&mut args)?.configuration;
     let time_scale = opt_number(&mut args, "--time-scale")?.unwrap_or(1.0);
@@ -254,7 +258,7 @@
     Ok(Verdict::Pass)
 }
 
-/// Scales a published time, which must stay above 0.
+/// Scales a published time; the result must be above 0.
 fn scale_ms(time_ms: &mut u64, time_scale: f64) {
     let time = scaled(Duration::from_millis(*time_ms), time_scale);
     *time_ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX).max(1);
@@ -292,7 +296,7 @@
     write_file(path, &pretty(path, value)?)
 }
 
-/// Indented JSON; `path` is named in the error.
+/// Returns indented JSON; `path` appears in the error.
 fn pretty(path: &str, value: &impl serde::Serialize) -> Result<String, CommandError> {
     let content = serde_json::to_string_pretty(value).map_err(|source| CommandError::Json {
         path: path.to_owned(),
--- a/crates/load/src/cli/run.rs
+++ b/crates/load/src/cli/run.rs
@@ -1,4 +1,4 @@
-//! `mangofront load run`: a scenario against daemons.
+//! `mangofront load run`: runs a scenario against daemons.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 use crate::text::{TextSalt, fresh_salt};
 use crate::times::scaled;
 
-/// Seed of a run that names none.
+/// Default seed of the schedule.
 const DEFAULT_SEED: u64 = 1;
 
 struct Options {
@@ -52,7 +52,7 @@
     }
     let counted = report.counted_services;
     let executions_consistent = counted.is_none_or(|counted| counted.is_consistent());
-    // An answer that tells of a second run counts as wrong by itself.
+    // An answer that reports a second execution already counts as wrong.
     let all_done = report.counts.done == report.counts.requests;
     let passed = executions_consistent && (all_done || !options.all_done);
     Ok(
@@ -93,7 +93,7 @@
     })
 }
 
-/// Arrivals in a second of the scenario's time.
+/// Returns the mean arrivals per second of the scenario's time.
 fn rate(args: &mut Arguments, scenario: &Scenario) -> Result<f64, CommandError> {
     let factors = scenario.rate_factors;
     let factor: Option<String> = args.opt_value_from_str("--rate-factor")?;
