--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CompareError {
     /// The pair is not one report with long prompts and one without.
-    #[error("one of the two reports must be of a run --without-long, the other not")]
+    #[error("exactly one of the two reports must be of a run with --without-long")]
     NotAPair,
     /// The runs have different schedules.
     #[error("the runs differ in {0}")]
--- a/crates/load/src/exchange.rs
+++ b/crates/load/src/exchange.rs
@@ -79,7 +79,7 @@
         Err(_) => End::Failed {
             code: CLIENT_TIMEOUT_CODE.to_owned(),
             outcome: Outcome::Unknown,
-            message: format!("no whole answer within {time_limit:?}"),
+            message: format!("no complete answer within {time_limit:?}"),
         },
     };
     reader.finish(end)
@@ -232,7 +232,7 @@
     match events.next().await {
         None => Ok(()),
         Some(_) => Err(wrong_answer(WrongAnswer::Malformed(
-            "an event follows the last one".to_owned(),
+            "event after the end of the stream".to_owned(),
         ))),
     }
 }
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -77,7 +77,7 @@
     #[error("finish reason {0:?}")]
     FinishReason(String),
     /// Error with outcome `not_run` after tokens were received.
-    #[error("an answer that had begun ends with outcome not_run")]
+    #[error("answer ends with outcome not_run after its first token")]
     NotRunAfterTokens,
     /// The stream ended without `[DONE]`.
     #[error("stream ends without [DONE]")]
