--- a/crates/load/src/cli/latency.rs
+++ b/crates/load/src/cli/latency.rs
@@ -12,7 +12,7 @@
     CommandError, Verdict, block_on, emit, finish, opt_positive_integer, prober, prompt_size,
     usage_line, write_json,
 };
-use crate::latency::{Added, Comparison, LatencyReport, PathReport, compare};
+use crate::latency::{AddedLatency, Comparison, LatencyReport, PathReport, compare};
 use crate::probe::Destination;
 use crate::process::{Pid, Usage, UsageReport};
 use crate::scenario::Scenario;
@@ -153,8 +153,8 @@
     Ok(())
 }
 
-fn write_added(text: &mut String, first: &Added, total: &Added) -> std::fmt::Result {
-    let differences = |added: &Added| [added.p50_ms, added.p95_ms, added.p99_ms];
+fn write_added(text: &mut String, first: &AddedLatency, total: &AddedLatency) -> std::fmt::Result {
+    let differences = |added: &AddedLatency| [added.p50_ms, added.p95_ms, added.p99_ms];
     write_times(text, "added", differences(first), differences(total))?;
     writeln!(text)
 }
--- a/crates/load/src/exchange.rs
+++ b/crates/load/src/exchange.rs
@@ -25,7 +25,7 @@
 
 /// A request to send and how to check its answer.
 #[derive(Debug, Clone)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// Complete URL.
     pub url: String,
     /// Names and values of the headers.
@@ -33,14 +33,14 @@
     /// Body.
     pub body: Bytes,
     /// Expected answer.
-    pub answer: Answer,
+    pub answer: ExpectedAnswer,
     /// Time after which the tool stops waiting for the answer.
     pub time_limit: Duration,
 }
 
 /// Expected format and content of an answer.
 #[derive(Debug, Clone, Copy)]
-pub enum Answer {
+pub enum ExpectedAnswer {
     /// Server-sent events, as a daemon or an engine streams them.
     Stream(Expected),
     /// One JSON object with the complete text.
@@ -69,7 +69,7 @@
 }
 
 /// Sends `outgoing` and reads its complete answer within its time limit.
-pub async fn exchange(client: &Client, outgoing: Outgoing) -> ExchangeResult {
+pub async fn exchange(client: &Client, outgoing: OutgoingRequest) -> ExchangeResult {
     let mut reader = ResponseReader::new(outgoing.answer);
     let time_limit = outgoing.time_limit;
     let result = compio::time::timeout(time_limit, reader.run(client, outgoing)).await;
@@ -88,7 +88,7 @@
 /// State of one answer while it is read.
 struct ResponseReader {
     sent_at: Instant,
-    answer: Answer,
+    answer: ExpectedAnswer,
     request_id: Option<String>,
     first_token: Option<Duration>,
     last_token: Option<Instant>,
@@ -98,7 +98,7 @@
 }
 
 impl ResponseReader {
-    fn new(answer: Answer) -> Self {
+    fn new(answer: ExpectedAnswer) -> Self {
         Self {
             sent_at: Instant::now(),
             answer,
@@ -123,16 +123,16 @@
         }
     }
 
-    async fn run(&mut self, client: &Client, outgoing: Outgoing) -> Result<(), End> {
+    async fn run(&mut self, client: &Client, outgoing: OutgoingRequest) -> Result<(), End> {
         let response = send(client, outgoing).await?;
         self.request_id = header(&response, headers::REQUEST_ID);
         if !response.status().is_success() {
             return Err(error_response_end(response).await);
         }
         match self.answer {
-            Answer::Stream(expected) => self.read_stream(response, expected).await,
-            Answer::Json(expected) => self.read_json(response, expected).await,
-            Answer::Service => self.read_service(response).await,
+            ExpectedAnswer::Stream(expected) => self.read_stream(response, expected).await,
+            ExpectedAnswer::Json(expected) => self.read_json(response, expected).await,
+            ExpectedAnswer::Service => self.read_service(response).await,
         }
     }
 
@@ -216,7 +216,7 @@
     }
 }
 
-async fn send(client: &Client, outgoing: Outgoing) -> Result<Response, End> {
+async fn send(client: &Client, outgoing: OutgoingRequest) -> Result<Response, End> {
     let mut request = client.post(&outgoing.url).map_err(connection_failure)?;
     for (name, value) in outgoing.headers {
         request = request.header(name, value).map_err(connection_failure)?;
--- a/crates/load/src/generator.rs
+++ b/crates/load/src/generator.rs
@@ -12,7 +12,7 @@
 
 use cyper::Client;
 
-use crate::exchange::{ExchangeResult, Outgoing, exchange};
+use crate::exchange::{ExchangeResult, OutgoingRequest, exchange};
 use crate::requests::RequestFactory;
 use crate::sample::{End, Sample, SampleKind};
 use crate::schedule::{Arrival, Work};
@@ -119,7 +119,7 @@
 }
 
 impl Run {
-    async fn send(&self, arrival: Arrival, outgoing: Outgoing, lateness: Duration) {
+    async fn send(&self, arrival: Arrival, outgoing: OutgoingRequest, lateness: Duration) {
         let repetition = match &arrival.work {
             Work::Service(work) if work.repeat => Some(self.requests.repeat(&arrival, &outgoing)),
             Work::Service(_) | Work::Model(_) => None,
--- a/crates/load/src/idle.rs
+++ b/crates/load/src/idle.rs
@@ -81,12 +81,12 @@
     /// Seed of the prompts.
     pub seed: u64,
     /// Measurements for each length bucket in the scenario.
-    pub by_length: BTreeMap<LengthBucket, IdleLength>,
+    pub by_length: BTreeMap<LengthBucket, IdleBucketReport>,
 }
 
 /// Measurements of one length bucket.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct IdleLength {
+pub struct IdleBucketReport {
     /// Time to first token.
     pub time_to_first_token: Quantiles,
     /// Prompts that the engine refused, for example because they exceed its memory.
@@ -144,7 +144,7 @@
     prober: &Prober,
     plan: IdlePlan,
     requests: Vec<(u64, ModelWork)>,
-) -> IdleLength {
+) -> IdleBucketReport {
     let started = Instant::now();
     let mut times = LatencyHistogram::new();
     let mut refused = 0;
@@ -165,7 +165,7 @@
         }
         first_problem.get_or_insert_with(|| format!("{:?}", exchanged.end));
     }
-    IdleLength {
+    IdleBucketReport {
         time_to_first_token: times.quantiles(),
         refused,
         failed,
--- a/crates/load/src/latency.rs
+++ b/crates/load/src/latency.rs
@@ -100,10 +100,10 @@
     /// Times of direct requests to the engine.
     pub direct: PathReport,
     /// Time to first token: quantiles through the daemon minus direct quantiles.
-    pub added_first_token: Added,
+    pub added_first_token: AddedLatency,
     /// Time to the end of the answer: quantiles through the daemon minus direct
     /// quantiles.
-    pub added_total: Added,
+    pub added_total: AddedLatency,
     /// Median over the pairs of the time to first token through the daemon minus
     /// the direct one, in milliseconds.
     pub added_first_token_paired_p50_ms: f64,
@@ -126,7 +126,7 @@
 
 /// Differences of quantiles, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Added {
+pub struct AddedLatency {
     /// At the median.
     pub p50_ms: f64,
     /// At the 95th percentile.
@@ -135,7 +135,7 @@
     pub p99_ms: f64,
 }
 
-struct Path {
+struct PathMeasurements {
     first_token: LatencyHistogram,
     total: LatencyHistogram,
     errors: u64,
@@ -143,7 +143,7 @@
     first_problem: Option<String>,
 }
 
-impl Default for Path {
+impl Default for PathMeasurements {
     fn default() -> Self {
         Self {
             first_token: LatencyHistogram::high_resolution(),
@@ -156,16 +156,16 @@
 }
 
 #[derive(Default)]
-struct State {
-    daemon: Path,
-    engine: Path,
+struct ComparisonState {
+    daemon: PathMeasurements,
+    engine: PathMeasurements,
     /// Differences in time to first token within the pairs, in milliseconds.
     paired_ms: Vec<f64>,
 }
 
 /// Runs `comparison` and reports both paths.
 pub async fn compare(client: &Client, prober: &Prober, comparison: Comparison) -> LatencyReport {
-    let state = Rc::new(RefCell::new(State::default()));
+    let state = Rc::new(RefCell::new(ComparisonState::default()));
     let workers = (0..comparison.workers)
         .map(|worker| run_worker(client, prober, comparison, worker, Rc::clone(&state)));
     join_all(workers).await;
@@ -185,7 +185,7 @@
     prober: &Prober,
     comparison: Comparison,
     worker: u64,
-    state: Rc<RefCell<State>>,
+    state: Rc<RefCell<ComparisonState>>,
 ) {
     let first_seed = comparison
         .seed
@@ -218,7 +218,7 @@
     }
 }
 
-impl State {
+impl ComparisonState {
     fn add(&mut self, daemon: ExchangeResult, engine: ExchangeResult) {
         if let (Some(through), Some(direct)) = (daemon.first_token, engine.first_token) {
             let added_s = through.as_secs_f64() - direct.as_secs_f64();
@@ -229,7 +229,7 @@
     }
 }
 
-impl Path {
+impl PathMeasurements {
     fn add(&mut self, exchanged: ExchangeResult) {
         let problem = match exchanged.end {
             End::Done => {
@@ -262,12 +262,12 @@
     }
 }
 
-fn added(daemon: &LatencyHistogram, engine: &LatencyHistogram) -> Added {
+fn added(daemon: &LatencyHistogram, engine: &LatencyHistogram) -> AddedLatency {
     let difference = |share| {
         let difference_ms = daemon.quantile_ms(share) - engine.quantile_ms(share);
         (difference_ms * 1000.0).round() / 1000.0
     };
-    Added {
+    AddedLatency {
         p50_ms: difference(0.50),
         p95_ms: difference(0.95),
         p99_ms: difference(0.99),
--- a/crates/load/src/probe.rs
+++ b/crates/load/src/probe.rs
@@ -8,7 +8,7 @@
 use mangofront_settings::ids::{ClassName, ModelName, OrganisationId};
 
 use crate::answers::AnswerRule;
-use crate::exchange::{Answer, Outgoing};
+use crate::exchange::{ExpectedAnswer, OutgoingRequest};
 use crate::scenario::{Endpoint, Scenario};
 use crate::schedule::ModelWork;
 use crate::text::{TextPool, fresh_salt};
@@ -97,15 +97,15 @@
 
     /// Builds the request for `work`, whose text is determined by `seed`.
     #[must_use]
-    pub fn outgoing(&self, to: Destination, work: &ModelWork, seed: u64) -> Outgoing {
+    pub fn outgoing(&self, to: Destination, work: &ModelWork, seed: u64) -> OutgoingRequest {
         let body = self.text_pool.body(work, seed);
         let expected = self.rule.expected(work.endpoint, &body);
         let (Destination::Daemon(address) | Destination::Engine(address)) = to;
-        Outgoing {
+        OutgoingRequest {
             url: format!("http://{address}{}", work.endpoint.path()),
             headers: self.headers(to),
             body,
-            answer: Answer::Stream(expected),
+            answer: ExpectedAnswer::Stream(expected),
             time_limit: TIME_LIMIT,
         }
     }
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -11,7 +11,8 @@
 /// Ticks per second in `/proc/{pid}/stat`; fixed by the Linux ABI.
 const TICKS_PER_S: u64 = 100;
 
-/// Index of the user time among the fields that follow the program's name in `/proc/{pid}/stat`.
+/// Index of the user time among the fields that follow the program's name in
+/// `/proc/{pid}/stat`.
 const USER_TICKS_FIELD: usize = 11;
 
 /// Resource usage of a process at one point in time.
--- a/crates/load/src/report/mod.rs
+++ b/crates/load/src/report/mod.rs
@@ -160,12 +160,12 @@
     /// one of n organisations gets everything.
     pub jain_index: f64,
     /// Requests and share of each organisation.
-    pub organisations: BTreeMap<OrganisationId, Served>,
+    pub organisations: BTreeMap<OrganisationId, OrganisationShare>,
 }
 
 /// Requests of one organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Served {
+pub struct OrganisationShare {
     /// Requests sent.
     pub offered: u64,
     /// Requests done.
--- a/crates/load/src/report/shares.rs
+++ b/crates/load/src/report/shares.rs
@@ -5,12 +5,12 @@
 use mangofront_http::Outcome;
 
 use super::rounding::{rounded, share};
-use super::{Fairness, Served, ServiceReport};
+use super::{Fairness, OrganisationShare, ServiceReport};
 use crate::sample::{End, Sample, SampleKind};
 
 /// Returns the shares of the organisations' requests that were done.
 pub(super) fn fairness(samples: &[Sample]) -> Fairness {
-    let mut organisations: BTreeMap<String, Served> = BTreeMap::new();
+    let mut organisations: BTreeMap<String, OrganisationShare> = BTreeMap::new();
     for sample in samples {
         if matches!(sample.end, End::GeneratorFailure { .. }) {
             continue;
--- a/crates/load/src/requests.rs
+++ b/crates/load/src/requests.rs
@@ -11,7 +11,7 @@
 use mangofront_settings::published::Class;
 
 use crate::answers::AnswerRule;
-use crate::exchange::{Answer, Outgoing};
+use crate::exchange::{ExpectedAnswer, OutgoingRequest};
 use crate::scenario::Scenario;
 use crate::schedule::{Arrival, ModelWork, ServiceWork, Work};
 use crate::text::{TextPool, TextSalt};
@@ -118,7 +118,7 @@
 
     /// Builds the request of `arrival` for the next target.
     #[must_use]
-    pub fn outgoing(&self, arrival: &Arrival) -> Outgoing {
+    pub fn outgoing(&self, arrival: &Arrival) -> OutgoingRequest {
         match &arrival.work {
             Work::Model(work) => self.model_request(arrival, work),
             Work::Service(work) => self.service_request(arrival, work),
@@ -127,7 +127,7 @@
 
     /// Builds the same service call with the same key for the next target.
     #[must_use]
-    pub fn repeat(&self, arrival: &Arrival, first: &Outgoing) -> Outgoing {
+    pub fn repeat(&self, arrival: &Arrival, first: &OutgoingRequest) -> OutgoingRequest {
         match &arrival.work {
             Work::Model(_) => first.clone(),
             Work::Service(work) => self.service_request(arrival, work),
@@ -146,31 +146,31 @@
             .to_string()
     }
 
-    fn model_request(&self, arrival: &Arrival, work: &ModelWork) -> Outgoing {
+    fn model_request(&self, arrival: &Arrival, work: &ModelWork) -> OutgoingRequest {
         let body = self.text_pool.body(work, arrival.seed);
         let expected = self.rule.expected(work.endpoint, &body);
-        Outgoing {
+        OutgoingRequest {
             url: format!("http://{}{}", self.next_target(), work.endpoint.path()),
             headers: class_headers(arrival),
             body,
             answer: if work.stream {
-                Answer::Stream(expected)
+                ExpectedAnswer::Stream(expected)
             } else {
-                Answer::Json(expected)
+                ExpectedAnswer::Json(expected)
             },
             time_limit: self.time_limit(&arrival.class),
         }
     }
 
-    fn service_request(&self, arrival: &Arrival, work: &ServiceWork) -> Outgoing {
+    fn service_request(&self, arrival: &Arrival, work: &ServiceWork) -> OutgoingRequest {
         let target = self.next_target();
         let mut call_headers = class_headers(arrival);
         call_headers.push((headers::IDEMPOTENCY_KEY, self.key(arrival)));
-        Outgoing {
+        OutgoingRequest {
             url: format!("http://{target}/v1/services/{}/{}", work.service, work.path),
             headers: call_headers,
             body: Bytes::from_static(b"{}"),
-            answer: Answer::Service,
+            answer: ExpectedAnswer::Service,
             time_limit: self.time_limit(&arrival.class),
         }
     }
--- a/crates/load/tests/report.rs
+++ b/crates/load/tests/report.rs
@@ -9,7 +9,7 @@
 use mangofront_load::compare::{CompareError, differences, idle_ratio, slowdown};
 use mangofront_load::executions::{ExecutionCheck, ExecutionsByKey, check};
 use mangofront_load::generator::RunRecord;
-use mangofront_load::idle::{IdleLength, IdleReport};
+use mangofront_load::idle::{IdleBucketReport, IdleReport};
 use mangofront_load::report::{LengthBucket, Report, RunMetadata, build, table, write_chart};
 use mangofront_load::requests::RequestFactory;
 use mangofront_load::sample::{End, Sample, SampleKind};
@@ -165,7 +165,7 @@
     short.p95_ms = 475.0;
     let mut long = short;
     long.p95_ms = 2_000.0;
-    let length = |time_to_first_token| IdleLength {
+    let length = |time_to_first_token| IdleBucketReport {
         time_to_first_token,
         refused: 0,
         failed: 0,
