--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -114,7 +114,7 @@
     /// Checks the offset of a frame.
     ///
     /// # Errors
-    /// [`WrongAnswer::Offset`] when another one is expected.
+    /// [`WrongAnswer::OffsetMismatch`] when another one is expected.
     pub const fn offset(&self, got: u32) -> Result<(), WrongAnswer> {
         if got == self.next_offset {
             return Ok(());
