--- a/crates/load/src/cli/latency.rs
+++ b/crates/load/src/cli/latency.rs
@@ -1,4 +1,5 @@
-//! `mangofront load latency`: a daemon against the engine behind it.
+//! `mangofront load latency`: compares the latency of a daemon with that of
+//! the engine behind it.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -8,25 +9,25 @@
 use serde::Serialize;
 
 use super::{
-    CommandError, Verdict, block_on, emit, finish, opt_whole, prober, prompt_size, usage_line,
-    write_json,
+    CommandError, Verdict, block_on, emit, finish, opt_positive_integer, prober, prompt_size,
+    usage_line, write_json,
 };
-use crate::latency::{Added, Comparison, LatencyReport, PathReport, compare};
+use crate::latency::{AddedLatency, Comparison, LatencyReport, PathReport, compare};
 use crate::probe::Destination;
 use crate::process::{Pid, Usage, UsageReport};
 use crate::scenario::Scenario;
 use crate::times::Quantiles;
 
-/// Pairs of each comparison.
+/// Default number of pairs in each comparison.
 const DEFAULT_PAIRS: u64 = 500;
 
-/// Seed of the prompts.
+/// Default seed of the prompts.
 const DEFAULT_SEED: u64 = 1;
 
-/// Distance between the seeds of the two comparisons.
-const CONCURRENT_SEEDS: u64 = 1 << 48;
+/// Difference between the seeds of the two comparisons.
+const CONCURRENT_SEED_OFFSET: u64 = 1 << 48;
 
-/// Workers of the concurrent comparison.
+/// Default number of workers in the concurrent comparison.
 const DEFAULT_WORKERS: u64 = 32;
 
 struct Options {
@@ -39,7 +40,7 @@
     json: Option<String>,
 }
 
-/// Both comparisons, and the named process's usage over them.
+/// Both comparisons, and the resource usage of the specified process during them.
 #[derive(Serialize)]
 struct Latencies {
     sequential: LatencyReport,
@@ -59,13 +60,15 @@
     let paths = reports
         .iter()
         .flat_map(|report| [&report.daemon, &report.direct]);
-    Ok(Verdict::of(paths.map(|path| path.wrong_answers).sum()))
+    Ok(Verdict::from_wrong_answers(
+        paths.map(|path| path.wrong_answers).sum(),
+    ))
 }
 
 fn read(args: &mut Arguments) -> Result<Options, CommandError> {
     let daemon: SocketAddr = args.value_from_str("--target")?;
     let engine: SocketAddr = args.value_from_str("--direct")?;
-    let pairs = opt_whole(args, "--pairs")?.unwrap_or(DEFAULT_PAIRS);
+    let pairs = opt_positive_integer(args, "--pairs")?.unwrap_or(DEFAULT_PAIRS);
     let seed = args.opt_value_from_str("--seed")?.unwrap_or(DEFAULT_SEED);
     let comparison = Comparison::new(Destination::Daemon(daemon), Destination::Engine(engine))
         .pairs(pairs)
@@ -75,7 +78,7 @@
         comparison,
         pairs,
         seed,
-        workers: opt_whole(args, "--concurrency")?.unwrap_or(DEFAULT_WORKERS),
+        workers: opt_positive_integer(args, "--concurrency")?.unwrap_or(DEFAULT_WORKERS),
         scenario: super::scenario(args)?,
         pid: args.opt_value_from_str("--pid")?,
         json: args.opt_value_from_str("--json")?,
@@ -93,8 +96,8 @@
         .workers(options.workers)
         .pairs(options.pairs.div_ceil(options.workers))
         .warm_up_pairs(1)
-        // Other prompts than those that the engine has seen.
-        .seed(options.seed.wrapping_add(CONCURRENT_SEEDS));
+        // Different prompts, as the engine has cached the earlier ones.
+        .seed(options.seed.wrapping_add(CONCURRENT_SEED_OFFSET));
     let concurrent = compare(&client, &prober, concurrent).await;
     let elapsed = started.elapsed();
     let after = options.pid.map(Usage::read).transpose()?;
@@ -150,13 +153,13 @@
     Ok(())
 }
 
-fn write_added(text: &mut String, first: &Added, total: &Added) -> std::fmt::Result {
-    let differences = |added: &Added| [added.p50_ms, added.p95_ms, added.p99_ms];
+fn write_added(text: &mut String, first: &AddedLatency, total: &AddedLatency) -> std::fmt::Result {
+    let differences = |added: &AddedLatency| [added.p50_ms, added.p95_ms, added.p99_ms];
     write_times(text, "added", differences(first), differences(total))?;
     writeln!(text)
 }
 
-/// Times at p50, p95 and p99 under the headings of `write`.
+/// Writes the times at p50, p95 and p99 in the columns of `write`.
 fn write_times(
     text: &mut String,
     name: &str,
--- a/crates/load/src/generator.rs
+++ b/crates/load/src/generator.rs
@@ -1,10 +1,10 @@
-//! Open-loop sending of a schedule.
+//! Open-loop load generation from a schedule.
 //!
-//! One task sends at the scheduled instants, one task for each request reads
-//! its answer; a slow answer delays nothing but itself. What can't be sent
-//! because too many requests are under way counts as the generator's failure,
-//! never as the daemon's. The body of the next arrival is made before its
-//! instant comes, so that making it does not show in its times.
+//! One task starts requests at the scheduled times, and a task for each request
+//! reads its answer, so a slow answer delays no other request. A request that
+//! can't be sent because too many are in flight counts as a failure of the
+//! generator, never of the daemon. The body of the next arrival is built before
+//! it is due, so that building it does not add to its measured times.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,54 +12,54 @@
 
 use cyper::Client;
 
-use crate::exchange::{Exchanged, Outgoing, exchange};
-use crate::requests::Requests;
+use crate::exchange::{ExchangeResult, OutgoingRequest, exchange};
+use crate::requests::RequestFactory;
 use crate::sample::{End, Sample, SampleKind};
 use crate::schedule::{Arrival, Work};
-use crate::times::Times;
+use crate::times::LatencyHistogram;
 
-/// Pause between looks at the number of requests under way.
-const DRAIN_PAUSE: Duration = Duration::from_millis(5);
+/// Interval at which the number of requests in flight is polled at the end.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a run gave.
+/// Raw measurements of a run.
 #[derive(Debug)]
-pub struct Record {
-    /// One for each request.
+pub struct RunRecord {
+    /// One sample for each request.
     pub samples: Vec<Sample>,
-    /// Times between the tokens of one stream, of all streams.
-    pub gaps: Times,
-    /// Most requests under way at once.
+    /// Times between consecutive tokens, over all streams.
+    pub inter_token_times: LatencyHistogram,
+    /// Maximum number of requests in flight.
     pub in_flight_max: usize,
     /// Time from the start to the last answer.
     pub elapsed: Duration,
 }
 
-impl Default for Record {
+impl Default for RunRecord {
     fn default() -> Self {
         Self {
             samples: Vec::new(),
-            gaps: Times::new(),
+            inter_token_times: LatencyHistogram::new(),
             in_flight_max: 0,
             elapsed: Duration::ZERO,
         }
     }
 }
 
-/// State that the tasks of a run share.
+/// State shared by the tasks of a run.
 struct Run {
     client: Client,
-    requests: Requests,
-    record: RefCell<Record>,
+    requests: RequestFactory,
+    record: RefCell<RunRecord>,
     in_flight: Cell<usize>,
 }
 
-/// Sends `arrivals` with at most `concurrency_cap` requests under way.
+/// Sends `arrivals` with at most `concurrency_cap` requests in flight.
 pub async fn generate(
     client: Client,
-    requests: Requests,
+    requests: RequestFactory,
     concurrency_cap: usize,
     arrivals: impl Iterator<Item = Arrival>,
-) -> Record {
+) -> RunRecord {
     let run = Rc::new(Run {
         client,
         requests,
@@ -73,7 +73,7 @@
         sleep_until(due).await;
         let lateness = due.elapsed();
         if run.in_flight.get() >= concurrency_cap {
-            run.not_sent(&arrival, lateness);
+            run.record_not_sent(&arrival, lateness);
             continue;
         }
         let guard = InFlight::new(&run);
@@ -85,7 +85,7 @@
         .detach();
     }
     while run.in_flight.get() > 0 {
-        compio::time::sleep(DRAIN_PAUSE).await;
+        compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     let mut record = run.record.take();
     record.elapsed = start.elapsed();
@@ -99,7 +99,7 @@
     }
 }
 
-/// Counts one request under way while it lives.
+/// Guard that counts one request in flight until it is dropped.
 struct InFlight(Rc<Run>);
 
 impl InFlight {
@@ -119,20 +119,26 @@
 }
 
 impl Run {
-    async fn send(&self, arrival: Arrival, outgoing: Outgoing, lateness: Duration) {
-        let repeated = match &arrival.work {
+    async fn send(&self, arrival: Arrival, outgoing: OutgoingRequest, lateness: Duration) {
+        let repetition = match &arrival.work {
             Work::Service(work) if work.repeat => Some(self.requests.repeat(&arrival, &outgoing)),
             Work::Service(_) | Work::Model(_) => None,
         };
         let exchanged = exchange(&self.client, outgoing).await;
-        self.add(&arrival, exchanged, lateness, false);
-        if let Some(outgoing) = repeated {
+        self.record_result(&arrival, exchanged, lateness, false);
+        if let Some(outgoing) = repetition {
             let exchanged = exchange(&self.client, outgoing).await;
-            self.add(&arrival, exchanged, Duration::ZERO, true);
+            self.record_result(&arrival, exchanged, Duration::ZERO, true);
         }
     }
 
-    fn add(&self, arrival: &Arrival, exchanged: Exchanged, lateness: Duration, repeat: bool) {
+    fn record_result(
+        &self,
+        arrival: &Arrival,
+        exchanged: ExchangeResult,
+        lateness: Duration,
+        repeat: bool,
+    ) {
         let kind = match &arrival.work {
             Work::Model(work) => SampleKind::Model {
                 length_tokens: work.length_tokens,
@@ -144,8 +150,8 @@
             },
         };
         let mut record = self.record.borrow_mut();
-        for gap in exchanged.gaps {
-            record.gaps.add(gap);
+        for time in exchanged.inter_token_times {
+            record.inter_token_times.add(time);
         }
         record.samples.push(Sample {
             class: arrival.class.clone(),
@@ -161,18 +167,18 @@
         });
     }
 
-    fn not_sent(&self, arrival: &Arrival, lateness: Duration) {
-        let exchanged = Exchanged {
+    fn record_not_sent(&self, arrival: &Arrival, lateness: Duration) {
+        let exchanged = ExchangeResult {
             request_id: None,
             first_token: None,
             total: Duration::ZERO,
-            gaps: Vec::new(),
+            inter_token_times: Vec::new(),
             tokens: 0,
             executions: None,
             end: End::GeneratorFailure {
                 cause: "concurrency_cap",
             },
         };
-        self.add(arrival, exchanged, lateness, false);
+        self.record_result(arrival, exchanged, lateness, false);
     }
 }
--- a/crates/load/src/latency.rs
+++ b/crates/load/src/latency.rs
@@ -1,8 +1,9 @@
-//! Time that a daemon adds to short streamed requests.
+//! Latency that a daemon adds to short streamed requests.
 //!
-//! The same requests go through a daemon and straight to an engine in turn, in
-//! one run, so that a change of the machine's speed meets both alike. The order
-//! changes with each pair, so that neither side always finds the engine warm.
+//! One run sends the same requests alternately through a daemon and directly to
+//! an engine, so that changes in the machine's speed affect both paths equally.
+//! The order alternates from pair to pair, so that neither path always finds the
+//! engine warm.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,21 +12,22 @@
 use futures_util::future::join_all;
 use serde::{Deserialize, Serialize};
 
-use crate::exchange::{Exchanged, exchange};
+use crate::exchange::{ExchangeResult, exchange};
 use crate::probe::{Destination, Prober, PromptSize};
 use crate::sample::End;
-use crate::times::{Quantiles, Times};
+use crate::times::{LatencyHistogram, Quantiles};
 
-/// Distance between the seeds of two workers; far above any number of pairs.
-const WORKER_SEEDS: u64 = 1 << 32;
+/// Difference between the seeds of two workers; far above any number of pairs.
+const WORKER_SEED_STRIDE: u64 = 1 << 32;
 
-/// Pairs of a comparison that sets none.
+/// Default number of pairs.
 const DEFAULT_PAIRS: u64 = 500;
 
-/// Pairs before the count begins: connections and caches settle.
+/// Default number of unmeasured pairs at the start, while connections and caches
+/// settle.
 const DEFAULT_WARM_UP_PAIRS: u64 = 20;
 
-/// How to compare.
+/// Parameters of a comparison.
 #[derive(Debug, Clone, Copy)]
 pub struct Comparison {
     daemon: Destination,
@@ -38,7 +40,7 @@
 }
 
 impl Comparison {
-    /// Sequential comparison of a daemon with an engine.
+    /// Creates a sequential comparison of a daemon with an engine.
     #[must_use]
     pub const fn new(daemon: Destination, engine: Destination) -> Self {
         Self {
@@ -52,21 +54,21 @@
         }
     }
 
-    /// Pairs of requests of each worker; 500 by default.
+    /// Number of measured pairs of requests for each worker; 500 by default.
     #[must_use]
     pub const fn pairs(mut self, pairs: u64) -> Self {
         self.pairs = pairs;
         self
     }
 
-    /// Pairs of each worker before the count begins; 20 by default.
+    /// Number of unmeasured pairs at the start of each worker; 20 by default.
     #[must_use]
     pub const fn warm_up_pairs(mut self, warm_up_pairs: u64) -> Self {
         self.warm_up_pairs = warm_up_pairs;
         self
     }
 
-    /// Workers at once; 1 by default, which is a sequential comparison.
+    /// Number of concurrent workers; 1 by default, which is a sequential comparison.
     #[must_use]
     pub const fn workers(mut self, workers: u64) -> Self {
         self.workers = workers;
@@ -91,22 +93,23 @@
 /// Result of one comparison.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LatencyReport {
-    /// Workers at once.
+    /// Number of concurrent workers.
     pub workers: u64,
-    /// Through the daemon.
+    /// Times through the daemon.
     pub daemon: PathReport,
-    /// Straight to the engine.
+    /// Times of direct requests to the engine.
     pub direct: PathReport,
-    /// First token: daemon's quantile less the direct one.
-    pub added_first_token: Added,
-    /// End of the answer: daemon's quantile less the direct one.
-    pub added_total: Added,
-    /// Median over the pairs of the daemon's first token less the direct one,
-    /// in milliseconds.
+    /// Time to first token: quantiles through the daemon minus direct quantiles.
+    pub added_first_token: AddedLatency,
+    /// Time to the end of the answer: quantiles through the daemon minus direct
+    /// quantiles.
+    pub added_total: AddedLatency,
+    /// Median over the pairs of the time to first token through the daemon minus
+    /// the direct one, in milliseconds.
     pub added_first_token_paired_p50_ms: f64,
 }
 
-/// Times of one path.
+/// Measurements of one path.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PathReport {
     /// Time to first token.
@@ -115,15 +118,15 @@
     pub total: Quantiles,
     /// Requests refused or failed.
     pub errors: u64,
-    /// Wrong answers.
+    /// Number of wrong answers.
     pub wrong_answers: u64,
-    /// First error or wrong answer.
+    /// Description of the first error or wrong answer.
     pub first_problem: Option<String>,
 }
 
 /// Differences of quantiles, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Added {
+pub struct AddedLatency {
     /// At the median.
     pub p50_ms: f64,
     /// At the 95th percentile.
@@ -132,19 +135,19 @@
     pub p99_ms: f64,
 }
 
-struct Path {
-    first_token: Times,
-    total: Times,
+struct PathMeasurements {
+    first_token: LatencyHistogram,
+    total: LatencyHistogram,
     errors: u64,
     wrong_answers: u64,
     first_problem: Option<String>,
 }
 
-impl Default for Path {
+impl Default for PathMeasurements {
     fn default() -> Self {
         Self {
-            first_token: Times::fine(),
-            total: Times::fine(),
+            first_token: LatencyHistogram::high_resolution(),
+            total: LatencyHistogram::high_resolution(),
             errors: 0,
             wrong_answers: 0,
             first_problem: None,
@@ -153,16 +156,16 @@
 }
 
 #[derive(Default)]
-struct State {
-    daemon: Path,
-    engine: Path,
-    /// Differences of pairs, in milliseconds.
+struct ComparisonState {
+    daemon: PathMeasurements,
+    engine: PathMeasurements,
+    /// Differences in time to first token within the pairs, in milliseconds.
     paired_ms: Vec<f64>,
 }
 
-/// Runs `comparison`.
+/// Runs `comparison` and reports both paths.
 pub async fn compare(client: &Client, prober: &Prober, comparison: Comparison) -> LatencyReport {
-    let state = Rc::new(RefCell::new(State::default()));
+    let state = Rc::new(RefCell::new(ComparisonState::default()));
     let workers = (0..comparison.workers)
         .map(|worker| run_worker(client, prober, comparison, worker, Rc::clone(&state)));
     join_all(workers).await;
@@ -182,11 +185,11 @@
     prober: &Prober,
     comparison: Comparison,
     worker: u64,
-    state: Rc<RefCell<State>>,
+    state: Rc<RefCell<ComparisonState>>,
 ) {
     let first_seed = comparison
         .seed
-        .wrapping_add(worker.wrapping_mul(WORKER_SEEDS));
+        .wrapping_add(worker.wrapping_mul(WORKER_SEED_STRIDE));
     for pair in 0..comparison.warm_up_pairs + comparison.pairs {
         let seed = first_seed.wrapping_add(pair);
         let [daemon, engine] = run_pair(client, prober, comparison, seed).await;
@@ -201,11 +204,11 @@
     prober: &Prober,
     comparison: Comparison,
     seed: u64,
-) -> [Exchanged; 2] {
+) -> [ExchangeResult; 2] {
     let work = prober.work(comparison.prompt_size);
     let daemon = exchange(client, prober.outgoing(comparison.daemon, &work, seed));
     let engine = exchange(client, prober.outgoing(comparison.engine, &work, seed));
-    // The futures are lazy: each request leaves when it is awaited.
+    // The futures are lazy: each request is sent when its future is first polled.
     if seed.is_multiple_of(2) {
         let daemon = daemon.await;
         [daemon, engine.await]
@@ -215,8 +218,8 @@
     }
 }
 
-impl State {
-    fn add(&mut self, daemon: Exchanged, engine: Exchanged) {
+impl ComparisonState {
+    fn add(&mut self, daemon: ExchangeResult, engine: ExchangeResult) {
         if let (Some(through), Some(direct)) = (daemon.first_token, engine.first_token) {
             let added_s = through.as_secs_f64() - direct.as_secs_f64();
             self.paired_ms.push(added_s * 1000.0);
@@ -226,8 +229,8 @@
     }
 }
 
-impl Path {
-    fn add(&mut self, exchanged: Exchanged) {
+impl PathMeasurements {
+    fn add(&mut self, exchanged: ExchangeResult) {
         let problem = match exchanged.end {
             End::Done => {
                 if let Some(first_token) = exchanged.first_token {
@@ -259,12 +262,12 @@
     }
 }
 
-fn added(daemon: &Times, engine: &Times) -> Added {
+fn added(daemon: &LatencyHistogram, engine: &LatencyHistogram) -> AddedLatency {
     let difference = |share| {
         let difference_ms = daemon.quantile_ms(share) - engine.quantile_ms(share);
         (difference_ms * 1000.0).round() / 1000.0
     };
-    Added {
+    AddedLatency {
         p50_ms: difference(0.50),
         p95_ms: difference(0.95),
         p99_ms: difference(0.99),
--- a/crates/load/src/probe.rs
+++ b/crates/load/src/probe.rs
@@ -1,4 +1,4 @@
-//! Single streamed requests to a daemon or straight to an engine.
+//! Single streamed requests to a daemon or directly to an engine.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,29 +8,29 @@
 use mangofront_settings::ids::{ClassName, ModelName, OrganisationId};
 
 use crate::answers::AnswerRule;
-use crate::exchange::{Answer, Outgoing};
+use crate::exchange::{ExpectedAnswer, OutgoingRequest};
 use crate::scenario::{Endpoint, Scenario};
 use crate::schedule::ModelWork;
-use crate::text::{Slab, fresh_salt};
+use crate::text::{TextPool, fresh_salt};
 
-/// Time after which a probe is given up.
+/// Time limit of a probe.
 const TIME_LIMIT: Duration = Duration::from_secs(300);
 
-/// Priority of a probe at an engine.
+/// Priority header of a probe to an engine.
 const PRIORITY: &str = "0";
 
-/// Size of a short prompt and of its answer.
+/// Length of a probe's prompt and answer limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptSize {
-    /// Length of the prompt, in tokens; 200 by default: below one prefix block,
-    /// so that none is found cached.
+    /// Length of the prompt, in tokens; 200 by default, which is below one prefix
+    /// block, so that no part of it is cached.
     pub length_tokens: u64,
     /// Answer limit, in tokens; 16 by default.
     pub max_tokens: u32,
 }
 
 impl PromptSize {
-    /// The default, for constants.
+    /// Default size, as a constant.
     pub const SHORT: Self = Self {
         length_tokens: 200,
         max_tokens: 16,
@@ -43,46 +43,46 @@
     }
 }
 
-/// Who a probe is sent to.
+/// Recipient of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Destination {
-    /// A daemon, as its callers do.
+    /// A daemon, with the headers of a caller.
     Daemon(SocketAddr),
-    /// An engine, as a daemon does.
+    /// An engine, with the headers of a daemon.
     Engine(SocketAddr),
 }
 
-/// Makes probes in the name of one caller.
+/// Builds probes on behalf of one caller.
 #[derive(Debug, Clone)]
 pub struct Prober {
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelName,
-    /// Class sent in.
+    /// Class of the probes.
     pub class: ClassName,
-    /// Organisation that sends.
+    /// Organisation of the caller.
     pub organisation: OrganisationId,
-    /// Rule by which engines answer.
+    /// Rule that defines the engines' answers.
     pub rule: AnswerRule,
-    /// Text of the prompts.
-    pub slab: Rc<Slab>,
+    /// Pool of the prompts' text.
+    pub text_pool: Rc<TextPool>,
 }
 
 impl Prober {
-    /// Probes in the name of a scenario's largest organisation and first class
-    /// of prompts; `None` when the scenario has no prompts.
+    /// Creates a prober for a scenario's largest organisation and first class of
+    /// prompts; `None` when the scenario has no prompts.
     #[must_use]
-    pub fn of(scenario: &Scenario, rule: AnswerRule) -> Option<Self> {
+    pub fn for_scenario(scenario: &Scenario, rule: AnswerRule) -> Option<Self> {
         let first = scenario.first_model()?;
         Some(Self {
             model: first.model.clone(),
             class: first.class.clone(),
             organisation: scenario.organisations.first()?.clone(),
             rule,
-            slab: Rc::new(Slab::new(fresh_salt())),
+            text_pool: Rc::new(TextPool::new(fresh_salt())),
         })
     }
 
-    /// Prompt of a size that shares nothing with others.
+    /// Returns a prompt of this size without a shared prefix.
     #[must_use]
     pub fn work(&self, size: PromptSize) -> ModelWork {
         ModelWork {
@@ -95,37 +95,37 @@
         }
     }
 
-    /// Request for `work`, whose text comes from `seed`.
+    /// Builds the request for `work`, whose text is determined by `seed`.
     #[must_use]
-    pub fn outgoing(&self, to: Destination, work: &ModelWork, seed: u64) -> Outgoing {
-        let body = self.slab.body(work, seed);
+    pub fn outgoing(&self, to: Destination, work: &ModelWork, seed: u64) -> OutgoingRequest {
+        let body = self.text_pool.body(work, seed);
         let expected = self.rule.expected(work.endpoint, &body);
         let (Destination::Daemon(address) | Destination::Engine(address)) = to;
-        Outgoing {
+        OutgoingRequest {
             url: format!("http://{address}{}", work.endpoint.path()),
             headers: self.headers(to),
             body,
-            answer: Answer::Stream(expected),
+            answer: ExpectedAnswer::Stream(expected),
             time_limit: TIME_LIMIT,
         }
     }
 
     fn headers(&self, to: Destination) -> Vec<(&'static str, String)> {
-        let mut named = vec![("content-type", "application/json".to_owned())];
+        let mut named_headers = vec![("content-type", "application/json".to_owned())];
         match to {
             Destination::Daemon(_) => {
-                named.push((headers::CLASS, self.class.clone()));
-                named.push((headers::ORGANISATION, self.organisation.clone()));
+                named_headers.push((headers::CLASS, self.class.clone()));
+                named_headers.push((headers::ORGANISATION, self.organisation.clone()));
             }
             Destination::Engine(_) => {
-                // An engine keeps a request's stream for a while: an id used
-                // before would name that one.
-                named.push((headers::REQUEST_ID, uuid::Uuid::now_v7().to_string()));
-                named.push((headers::ATTEMPT, "1".to_owned()));
-                named.push((headers::PRIORITY, PRIORITY.to_owned()));
-                named.push((headers::DEADLINE_MS, TIME_LIMIT.as_millis().to_string()));
+                // An engine keeps the stream of a request for a while, so a reused
+                // id would refer to the earlier request.
+                named_headers.push((headers::REQUEST_ID, uuid::Uuid::now_v7().to_string()));
+                named_headers.push((headers::ATTEMPT, "1".to_owned()));
+                named_headers.push((headers::PRIORITY, PRIORITY.to_owned()));
+                named_headers.push((headers::DEADLINE_MS, TIME_LIMIT.as_millis().to_string()));
             }
         }
-        named
+        named_headers
     }
 }
--- a/crates/load/src/requests.rs
+++ b/crates/load/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests made of arrivals.
+//! Builds HTTP requests from scheduled arrivals.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -11,34 +11,34 @@
 use mangofront_settings::published::Class;
 
 use crate::answers::AnswerRule;
-use crate::exchange::{Answer, Outgoing};
+use crate::exchange::{ExpectedAnswer, OutgoingRequest};
 use crate::scenario::Scenario;
 use crate::schedule::{Arrival, ModelWork, ServiceWork, Work};
-use crate::text::{Slab, TextSalt};
+use crate::text::{TextPool, TextSalt};
 use crate::times::scaled;
 
-/// Time over its class's limit after which the tool gives a request up. The
-/// daemon has to answer within the limit; the rest is for the way.
-const GRACE: Duration = Duration::from_secs(5);
+/// Time that the tool waits beyond the limit of a request's class. The daemon
+/// must answer within the limit; the extra time allows for the network.
+const CLIENT_GRACE: Duration = Duration::from_secs(5);
 
-/// Limit of a request whose class is not configured.
+/// Time limit of a request whose class is not configured.
 const DEFAULT_LIMIT: Duration = Duration::from_secs(60);
 
-/// Makes requests for targets in turn.
+/// Builds requests for the targets in round-robin order.
 #[derive(Debug)]
-pub struct Requests {
+pub struct RequestFactory {
     targets: Vec<SocketAddr>,
-    next_target: Cell<usize>,
+    next_target_index: Cell<usize>,
     classes: BTreeMap<ClassName, Class>,
     time_scale: f64,
     started_at: Duration,
-    slab: Slab,
+    text_pool: TextPool,
     rule: AnswerRule,
 }
 
-/// Settings of [`Requests`].
+/// Builder of [`RequestFactory`].
 #[derive(Debug)]
-pub struct RequestsBuilder {
+pub struct RequestFactoryBuilder {
     targets: Vec<SocketAddr>,
     classes: BTreeMap<ClassName, Class>,
     time_scale: f64,
@@ -46,50 +46,50 @@
     rule: AnswerRule,
 }
 
-impl RequestsBuilder {
-    /// Factor on the durations of the scenario; 1 by default.
+impl RequestFactoryBuilder {
+    /// Factor applied to the durations of the scenario; 1 by default.
     #[must_use]
     pub const fn time_scale(mut self, time_scale: f64) -> Self {
         self.time_scale = time_scale;
         self
     }
 
-    /// Salt of the texts; 0 by default.
+    /// Salt of the prompt texts; 0 by default.
     #[must_use]
     pub const fn text_salt(mut self, text_salt: TextSalt) -> Self {
         self.text_salt = text_salt;
         self
     }
 
-    /// Rule by which engines answer; the emulated engine's by default.
+    /// Rule that defines the engines' answers; the emulated engine's by default.
     #[must_use]
     pub const fn rule(mut self, rule: AnswerRule) -> Self {
         self.rule = rule;
         self
     }
 
-    /// The requests; keys count as minted from now on.
+    /// Builds the factory; the timestamps of idempotency keys start from now.
     #[must_use]
-    pub fn build(self) -> Requests {
+    pub fn build(self) -> RequestFactory {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        Requests {
+        RequestFactory {
             targets: self.targets,
-            next_target: Cell::new(0),
+            next_target_index: Cell::new(0),
             classes: self.classes,
             time_scale: self.time_scale,
-            // A clock before 1970 only makes keys look old.
+            // A clock before 1970 only gives keys old timestamps.
             started_at: now.unwrap_or_default(),
-            slab: Slab::new(self.text_salt),
+            text_pool: TextPool::new(self.text_salt),
             rule: self.rule,
         }
     }
 }
 
-impl Requests {
-    /// Requests of `scenario` for `targets`, of which there must be one.
+impl RequestFactory {
+    /// Starts a factory for `scenario` and `targets`, which must not be empty.
     #[must_use]
-    pub fn builder(scenario: &Scenario, targets: Vec<SocketAddr>) -> RequestsBuilder {
-        RequestsBuilder {
+    pub fn builder(scenario: &Scenario, targets: Vec<SocketAddr>) -> RequestFactoryBuilder {
+        RequestFactoryBuilder {
             targets,
             classes: scenario.configuration.classes.clone(),
             time_scale: 1.0,
@@ -98,43 +98,43 @@
         }
     }
 
-    /// Number of target addresses.
+    /// Returns the number of target addresses.
     #[must_use]
     pub fn targets(&self) -> usize {
         self.targets.len()
     }
 
-    /// Factor on the durations of the scenario.
+    /// Returns the factor applied to the durations of the scenario.
     #[must_use]
     pub fn time_scale(&self) -> f64 {
         self.time_scale
     }
 
-    /// Salt of the texts.
+    /// Returns the salt of the prompt texts.
     #[must_use]
     pub fn text_salt(&self) -> TextSalt {
-        self.slab.salt()
+        self.text_pool.salt()
     }
 
-    /// Request of `arrival` for the next target.
+    /// Builds the request of `arrival` for the next target.
     #[must_use]
-    pub fn outgoing(&self, arrival: &Arrival) -> Outgoing {
+    pub fn outgoing(&self, arrival: &Arrival) -> OutgoingRequest {
         match &arrival.work {
-            Work::Model(work) => self.model(arrival, work),
-            Work::Service(work) => self.service(arrival, work),
+            Work::Model(work) => self.model_request(arrival, work),
+            Work::Service(work) => self.service_request(arrival, work),
         }
     }
 
-    /// The same service call with the same key for the next target.
+    /// Builds the same service call with the same key for the next target.
     #[must_use]
-    pub fn repeat(&self, arrival: &Arrival, first: &Outgoing) -> Outgoing {
+    pub fn repeat(&self, arrival: &Arrival, first: &OutgoingRequest) -> OutgoingRequest {
         match &arrival.work {
             Work::Model(_) => first.clone(),
-            Work::Service(work) => self.service(arrival, work),
+            Work::Service(work) => self.service_request(arrival, work),
         }
     }
 
-    /// Idempotency key of a service call: a UUIDv7 of the time it is due.
+    /// Returns the idempotency key of a service call: a UUIDv7 with its due time.
     #[must_use]
     pub fn key(&self, arrival: &Arrival) -> String {
         let minted_at = self.started_at + arrival.at;
@@ -146,38 +146,38 @@
             .to_string()
     }
 
-    fn model(&self, arrival: &Arrival, work: &ModelWork) -> Outgoing {
-        let body = self.slab.body(work, arrival.seed);
+    fn model_request(&self, arrival: &Arrival, work: &ModelWork) -> OutgoingRequest {
+        let body = self.text_pool.body(work, arrival.seed);
         let expected = self.rule.expected(work.endpoint, &body);
-        Outgoing {
-            url: format!("http://{}{}", self.target(), work.endpoint.path()),
-            headers: common_headers(arrival),
+        OutgoingRequest {
+            url: format!("http://{}{}", self.next_target(), work.endpoint.path()),
+            headers: class_headers(arrival),
             body,
             answer: if work.stream {
-                Answer::Stream(expected)
+                ExpectedAnswer::Stream(expected)
             } else {
-                Answer::Json(expected)
+                ExpectedAnswer::Json(expected)
             },
             time_limit: self.time_limit(&arrival.class),
         }
     }
 
-    fn service(&self, arrival: &Arrival, work: &ServiceWork) -> Outgoing {
-        let target = self.target();
-        let mut named = common_headers(arrival);
-        named.push((headers::IDEMPOTENCY_KEY, self.key(arrival)));
-        Outgoing {
+    fn service_request(&self, arrival: &Arrival, work: &ServiceWork) -> OutgoingRequest {
+        let target = self.next_target();
+        let mut call_headers = class_headers(arrival);
+        call_headers.push((headers::IDEMPOTENCY_KEY, self.key(arrival)));
+        OutgoingRequest {
             url: format!("http://{target}/v1/services/{}/{}", work.service, work.path),
-            headers: named,
+            headers: call_headers,
             body: Bytes::from_static(b"{}"),
-            answer: Answer::Service,
+            answer: ExpectedAnswer::Service,
             time_limit: self.time_limit(&arrival.class),
         }
     }
 
-    fn target(&self) -> SocketAddr {
-        let next = self.next_target.get();
-        self.next_target.set((next + 1) % self.targets.len());
+    fn next_target(&self) -> SocketAddr {
+        let next = self.next_target_index.get();
+        self.next_target_index.set((next + 1) % self.targets.len());
         self.targets[next]
     }
 
@@ -186,11 +186,11 @@
             .classes
             .get(class)
             .map_or(DEFAULT_LIMIT, Class::time_limit);
-        scaled(limit, self.time_scale) + GRACE
+        scaled(limit, self.time_scale) + CLIENT_GRACE
     }
 }
 
-fn common_headers(arrival: &Arrival) -> Vec<(&'static str, String)> {
+fn class_headers(arrival: &Arrival) -> Vec<(&'static str, String)> {
     vec![
         ("content-type", "application/json".to_owned()),
         (headers::CLASS, arrival.class.clone()),
--- a/crates/load/tests/generator.rs
+++ b/crates/load/tests/generator.rs
@@ -6,16 +6,16 @@
 
 use std::time::Duration;
 
-use mangofront_load::counted;
+use mangofront_load::executions;
 use mangofront_load::generator::generate;
-use mangofront_load::report::{Report, RunFacts, build};
-use mangofront_load::requests::Requests;
+use mangofront_load::report::{Report, RunMetadata, build};
+use mangofront_load::requests::RequestFactory;
 use mangofront_load::scenario::Scenario;
 use mangofront_load::schedule::{Plan, Schedule};
 
 use support::{Fault, rule, server};
 
-/// Runs the first arrivals of the demo against a server with `fault`.
+/// Runs the first arrivals of the demo scenario against a server with `fault`.
 fn run(fault: Fault, concurrency_cap: usize, time_scale: f64) -> Report {
     let mut scenario = Scenario::load("demo").unwrap();
     scenario.request_cap = 60;
@@ -23,23 +23,23 @@
         .seed(7)
         .without_long(true);
     let runtime = compio::runtime::Runtime::new().unwrap();
-    let (record, facts) = runtime.block_on(async {
+    let (record, metadata) = runtime.block_on(async {
         let targets = vec![server(fault).await, server(fault).await];
-        let requests = Requests::builder(&scenario, targets)
+        let requests = RequestFactory::builder(&scenario, targets)
             .time_scale(time_scale)
             .rule(rule())
             .build();
         let client = mangofront_http::client().unwrap();
         let schedule = Schedule::new(&scenario, plan);
-        let facts = RunFacts::new(&scenario, plan, &requests);
+        let metadata = RunMetadata::new(&scenario, plan, &requests);
         let record = generate(client, requests, concurrency_cap, schedule).await;
-        (record, facts)
+        (record, metadata)
     });
-    build(&facts, &scenario.configuration, &record)
+    build(&metadata, &scenario.configuration, &record)
 }
 
 #[test]
-fn right_answers_are_all_done() {
+fn correct_answers_are_all_done() {
     let report = run(Fault::None, 100, 1.0);
     assert_eq!(report.wrong_answers, []);
     assert_eq!(report.counts.done, report.counts.requests);
@@ -51,12 +51,12 @@
 }
 
 #[test]
-fn faulty_answers_are_wrong() {
+fn faulty_answers_are_detected() {
     for fault in [
         Fault::SwapTwoTokens,
         Fault::DropLastToken,
         Fault::RepeatToken,
-        Fault::NoEndMark,
+        Fault::NoDoneMarker,
         Fault::NotRunInStream,
         Fault::EventAfterError,
     ] {
@@ -67,15 +67,15 @@
             .values()
             .map(|length| length.counts.requests)
             .sum();
-        // Plain JSON answers are no streams: what is wrong with a stream's end
-        // can't be wrong with them.
-        let spared = report.counts.done - service_calls(&report);
-        let spares = matches!(
+        // Answers in plain JSON are not streams, so faults at the end of a
+        // stream do not occur in them.
+        let undetected = report.counts.done - service_calls(&report);
+        let affects_streams_only = matches!(
             fault,
-            Fault::NoEndMark | Fault::NotRunInStream | Fault::EventAfterError
+            Fault::NoDoneMarker | Fault::NotRunInStream | Fault::EventAfterError
         );
-        assert_eq!(wrong + spared, prompts, "{fault:?}");
-        assert_eq!(spared > 0, spares, "{fault:?}");
+        assert_eq!(wrong + undetected, prompts, "{fault:?}");
+        assert_eq!(undetected > 0, affects_streams_only, "{fault:?}");
         assert!(wrong > 0);
         let first = &report.wrong_answers[0];
         assert!(
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn errors_are_told_apart() {
+fn refusals_failures_and_duplicates_are_distinguished() {
     let refused = run(Fault::Refuse, 100, 1.0);
     assert_eq!(refused.counts.refused, refused.counts.requests);
     assert_eq!(
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_hanging_target_does_not_hold_the_generator() {
+fn hanging_target_does_not_block_the_generator() {
     let report = run(Fault::Hang, 10, 0.000_01);
     assert_eq!(report.generator.in_flight_max, 10);
     assert_eq!(
@@ -120,12 +120,12 @@
 }
 
 #[test]
-fn counts_of_all_services_are_added() {
+fn execution_counts_of_all_services_are_summed() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     let runs = runtime.block_on(async {
         let services = [server(Fault::None).await, server(Fault::None).await];
         let client = mangofront_http::client().unwrap();
-        counted::read(&client, &services).await.unwrap()
+        executions::fetch(&client, &services).await.unwrap()
     });
     assert_eq!(runs["k"], 6);
 }
--- a/crates/load/tests/verify.rs
+++ b/crates/load/tests/verify.rs
@@ -1,6 +1,6 @@
-//! The check of answers.
+//! Verification of answers against the expected text.
 
-use mangofront_load::verify::{Check, Expected, WrongAnswer};
+use mangofront_load::verify::{AnswerChecker, Expected, WrongAnswer};
 use quickcheck::quickcheck;
 
 const ANSWER: [&str; 4] = [" one", " two", " dva", " tri"];
@@ -13,7 +13,7 @@
 };
 
 fn check(pieces: &[&str]) -> Result<(), WrongAnswer> {
-    let mut check = Check::new(EXPECTED);
+    let mut check = AnswerChecker::new(EXPECTED);
     for piece in pieces {
         check.text(piece)?;
     }
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn whole_answers_pass_however_they_are_cut() {
+fn complete_answers_pass_however_they_are_split() {
     assert_eq!(check(&ANSWER), Ok(()));
     assert_eq!(check(&[&ANSWER.concat()]), Ok(()));
     assert_eq!(check(&[" o", "ne tw", "", "o dva t", "ri"]), Ok(()));
@@ -38,9 +38,9 @@
         check(&[" one", " two", " dva", " tri", " tri"]),
         check(&["one"]),
         check(&[]),
-        Check::new(EXPECTED).offset(2),
-        Check::new(EXPECTED).finish_reason("stop"),
-        Check::new(Expected {
+        AnswerChecker::new(EXPECTED).offset(2),
+        AnswerChecker::new(EXPECTED).finish_reason("stop"),
+        AnswerChecker::new(Expected {
             length_tokens: 0,
             ..EXPECTED
         })
@@ -54,19 +54,19 @@
 }
 
 quickcheck! {
-    /// Any one swapped, dropped, repeated or altered byte is seen.
-    fn one_changed_byte_is_seen(place: usize, change: u8) -> bool {
-        let whole = ANSWER.concat();
-        let mut bytes = whole.clone().into_bytes();
+    /// Any single swapped, dropped, repeated or altered byte is detected.
+    fn one_changed_byte_is_detected(place: usize, change: u8) -> bool {
+        let complete = ANSWER.concat();
+        let mut bytes = complete.clone().into_bytes();
         let place = place % bytes.len();
         match change % 4 {
             0 => drop(bytes.remove(place)),
             1 => bytes.insert(place, bytes[place]),
             2 => bytes[place] = b'x',
-            _ => bytes.swap(place, (place + 1) % whole.len()),
+            _ => bytes.swap(place, (place + 1) % complete.len()),
         }
         let changed = String::from_utf8(bytes).expect("all are ASCII");
-        // Two neighbours may be the same letter.
-        (changed == whole) == check(&[&changed]).is_ok()
+        // Two adjacent bytes may be the same letter.
+        (changed == complete) == check(&[&changed]).is_ok()
     }
 }
